--- a/bench/idle.py
+++ b/bench/idle.py
@@ -97,7 +97,7 @@
     for number, address in enumerate(addresses):
         peers = _make_peers(loop, number, address, port)
         peers.start()
-        peers.learn([*addresses, deployment.address("links", _NODE)])
+        peers.add_addresses([*addresses, deployment.address("links", _NODE)])
     while True:
         loop._turn(SimpleNamespace(time_left=-1))
 
--- a/packages/relay/src/camphorshelf_relay/announcer.py
+++ b/packages/relay/src/camphorshelf_relay/announcer.py
@@ -1,9 +1,9 @@
-"""Tells other hosts of this one: pushes its load in small fleets, announces changes in large ones.
+"""Announces this host's status to other hosts, and forwards announcements of others.
 
-Failure pattern: half of a large fleet restarts in one moment, or the store fails for all. If each
-change went from each host to every other, the datagrams of that moment would grow with the square
-of the hosts. Here an announcement goes to the own failure domain and to two members of each other
-one, which hand it on in theirs, and announcements of one moment share a datagram.
+When half of a large fleet restarts at once, or the store fails for all nodes, sending each change
+from every host to every other would cost a number of datagrams that grows with the square of the
+fleet. Here an announcement goes to the hosts of this failure domain and to two hosts of each other
+domain, which forward it in theirs, and announcements of the same moment share a datagram.
 """
 
 import secrets
@@ -21,34 +21,37 @@
 )
 from camphorshelf_core.statusforms import Greeting, News, encode, encode_short, has_same_names
 
-# Changes closer together than this go out as one.
-_LEAST_GAP_SECONDS = 0.025
-# Pushed statuses a second that one node sends at most, to its own domain and to all others.
-_NEAR_PER_SECOND = 300
-_FAR_PER_SECOND = 100
-# A status is repeated a little before it is due, so that a late timer does not miss its time.
+# Changes within this time of each other are sent as one.
+_MIN_SEND_INTERVAL_SECONDS = 0.025
+# Limits on the statuses that one node pushes in its own failure domain and in all others.
+_SAME_DOMAIN_STATUSES_PER_SECOND = 300
+_OTHER_DOMAINS_STATUSES_PER_SECOND = 100
+# A status is repeated after this share of the push interval, so that a late timer does not make the
+# host look silent.
 _REPEAT_SHARE = 0.9
-# The names in a pushed status are repeated so often, for whoever has missed them.
-_WHOLE_SECONDS = 3.0
-# Hosts that were never heard, or fell silent, are greeted so often: a partition may heal.
-_GREETING_PAUSE_SECONDS = 0.5
-# Greetings that a node sends at most, so that a start in a large fleet is no burst.
-_GREETINGS_PER_TURN = 20
-_GREETING_TURN_SECONDS = 0.01
-# A host that was taken for dead tells all that it lives, at most this often.
-_REFUTE_PAUSE_SECONDS = 2.0
-# An announcement is sent again, to other forwarding members, in case datagrams were lost.
-_AGAIN_SECONDS = (0.3, 1.0)
-_FORWARDING_MEMBERS = 2
+# How often a pushed status has its full form, for hosts that have missed an earlier full one.
+_FULL_STATUS_SECONDS = 3.0
+# How often a host that was never heard or has fallen silent is greeted: a partition may heal.
+_GREETING_SECONDS = 0.5
+# Greetings are sent in batches, so that the start of a node in a large fleet causes no burst.
+_GREETINGS_PER_BATCH = 20
+_GREETING_BATCH_SECONDS = 0.01
+# Minimum interval between two refutations of suspicions of this host.
+_REFUTE_SECONDS = 2.0
+# An announcement is repeated after these delays, through other forwarding hosts, in case datagrams
+# were lost.
+_REPEAT_DELAYS_SECONDS = (0.3, 1.0)
+_FORWARDERS_PER_DOMAIN = 2
 _ITEMS_PER_DATAGRAM = 7
 _NANOSECONDS_PER_MICROSECOND = 1000
-# Work takes a quarter longer or shorter than was told: a change of the choice.
-_SLOWNESS_STEP = 1.25
-_LOAD_STEP = 2
+# A change of slowness by this factor, or of load by this many requests, is pushed: it may change
+# which target an entry node chooses.
+_SLOWNESS_CHANGE_FACTOR = 1.25
+_LOAD_CHANGE_REQUESTS = 2
 
 
-class Reach(Enum):
-    """Who has to hear of an announcement."""
+class AnnouncementScope(Enum):
+    """Which hosts an announcement is for: all, those of this failure domain, or none."""
 
     ALL = "all"
     DOMAIN = "domain"
@@ -56,7 +59,19 @@
 
 
 class Announcer:
-    """Holds what was told of the own host, and to whom it is told next."""
+    """Sends this host's status and forwards updates about others.
+
+    In a small fleet the host pushes each change of its load to all hosts. In a large one the others
+    probe its load, and only changes that all hosts must know are announced.
+
+    :param loop: the node's loop.
+    :param settings: the :class:`~camphorshelf_relay.settings.NodeSettings`.
+    :param directory: the :class:`~camphorshelf_core.directory.HostDirectory`.
+    :param describe: returns this host's :class:`~camphorshelf_core.hosts.HostStatus`; the fields
+        that :meth:`next_status` fills in are empty.
+    :param send_to: takes a host's link address and a datagram's bytes.
+    :param random: the source of random numbers.
+    """
 
     def __init__(self, loop, settings, directory, describe, send_to, random):
         self._loop = loop
@@ -66,33 +81,39 @@
         self._send_to = send_to
         self._random = random
         self._incarnation = draw_incarnation(
-            time_ns() // _NANOSECONDS_PER_MICROSECOND, _draw_chance()
+            time_ns() // _NANOSECONDS_PER_MICROSECOND, _draw_random_bits()
         )
         self._sequence = 0
         self._revision = 0
-        self._last = None
+        self._last_status = None
         self._is_pushing = True
-        self._told = None
-        self._told_at = 0.0
-        self._whole_at = 0.0
-        self._all_told_at = 0.0
-        self._pending = None
+        # The status last pushed or announced; None after a change of incarnation.
+        self._announced = None
+        self._pushed_at = 0.0
+        self._full_status_at = 0.0
+        self._pushed_to_all_at = 0.0
+        self._push_timer = None
         self._greeted_at = {}
-        self._greetings = deque()
-        self._news = {}
-        self._own_reach = Reach.NOBODY
+        self._greeting_queue = deque()
+        # Updates about other hosts that wait for the next flush, by type and address.
+        self._updates = {}
+        self._own_scope = AnnouncementScope.NOBODY
         self._flush_timer = None
         self._refuted_at = 0.0
-        self._near_budget = TokenBucket(_NEAR_PER_SECOND, _NEAR_PER_SECOND, loop.now())
-        self._far_budget = TokenBucket(_FAR_PER_SECOND, _FAR_PER_SECOND, loop.now())
+        self._same_domain_budget = TokenBucket(
+            _SAME_DOMAIN_STATUSES_PER_SECOND, _SAME_DOMAIN_STATUSES_PER_SECOND, loop.now()
+        )
+        self._other_domains_budget = TokenBucket(
+            _OTHER_DOMAINS_STATUSES_PER_SECOND, _OTHER_DOMAINS_STATUSES_PER_SECOND, loop.now()
+        )
 
     @property
     def incarnation(self):
-        """Names this process of the node."""
+        """The identifier of this process of the node; a later process has a greater one."""
         return self._incarnation
 
     def next_status(self):
-        """Describe the own host under the next sequence number.
+        """Describe this host under the next sequence number.
 
         :return: the :class:`~camphorshelf_core.hosts.HostStatus`.
         """
@@ -101,109 +122,114 @@
         status = self._describe()._replace(
             incarnation=self._incarnation, sequence=self._sequence, repeat_s=repeat_s
         )
-        if self._last is None or not has_same_names(status, self._last):
+        if self._last_status is None or not has_same_names(status, self._last_status):
             self._revision += 1
-        self._last = status._replace(revision=self._revision)
-        return self._last
+        self._last_status = status._replace(revision=self._revision)
+        return self._last_status
 
     def greet(self, addresses):
-        """Send hosts the own status and ask for theirs, paced.
+        """Send hosts this host's status and ask for theirs, in batches.
 
-        :param addresses: their links' addresses.
+        :param addresses: the hosts' link addresses.
         :return: None.
         """
         self._update_mode()
-        is_idle = not self._greetings
-        self._greetings.extend(addresses)
-        if is_idle and self._greetings:
-            self._greet_some()
+        is_idle = not self._greeting_queue
+        self._greeting_queue.extend(addresses)
+        if is_idle and self._greeting_queue:
+            self._send_greeting_batch()
 
     def has_greeted(self, address):
-        """Tell whether a host has been sent a greeting that is still under way to it.
+        """Tell whether a host was greeted so recently that its answer may still be on the way.
 
-        :param address: its links' address.
+        :param address: the host's link address.
         :return: True or False.
         """
-        return self._loop.now() - self._greeted_at.get(address, 0.0) < _GREETING_PAUSE_SECONDS
+        return self._loop.now() - self._greeted_at.get(address, 0.0) < _GREETING_SECONDS
 
-    def tell(self):
-        """Tell the others soon, if something changed that matters to them.
+    def announce_changes(self):
+        """Announce this host's status soon if it has changed in a way that matters to others.
 
         :return: None.
         """
         status = self._describe()
         if not self._is_pushing:
-            if self._told is None or _standing(status) != _standing(self._told):
-                self._announce_own(Reach.ALL)
-        elif self._pending is None and self._has_changed(status):
-            wait = self._told_at + _LEAST_GAP_SECONDS - self._loop.now()
-            self._pending = self._loop.call_later(max(0.0, wait), self._push_change)
-
-    def tell_version(self, reach):
-        """Tell that another version of the configuration is in force here.
-
-        :param reach: the :class:`Reach` of those that have not heard of it.
+            if self._announced is None or _announced_state(status) != _announced_state(
+                self._announced
+            ):
+                self._announce_own(AnnouncementScope.ALL)
+        elif self._push_timer is None and self._has_changed(status):
+            delay_s = self._pushed_at + _MIN_SEND_INTERVAL_SECONDS - self._loop.now()
+            self._push_timer = self._loop.call_later(max(0.0, delay_s), self._push_change)
+
+    def announce_version(self, scope):
+        """Announce that another version of the configuration or evacuations is in force here.
+
+        :param scope: the :class:`AnnouncementScope` of the announcement.
         :return: None.
         """
         if self._is_pushing:
-            self.tell()
-        elif reach is not Reach.NOBODY:
-            self._announce_own(reach)
+            self.announce_changes()
+        elif scope is not AnnouncementScope.NOBODY:
+            self._announce_own(scope)
 
-    def forward(self, item, reach):
-        """Announce what is known of another host.
+    def forward(self, item, scope):
+        """Announce an update about another host.
 
-        :param item: its status, or a :class:`~camphorshelf_core.failuredetector.Suspicion`.
-        :param reach: the :class:`Reach`.
+        :param item: the host's status, or a
+            :class:`~camphorshelf_core.failuredetector.Suspicion` of it.
+        :param scope: the :class:`AnnouncementScope` of the announcement.
         :return: None.
         """
         key = type(item), item.address
-        held = self._news.get(key)
-        if held is not None and held[1] is Reach.ALL:
-            reach = Reach.ALL
-        self._news[key] = item, reach
-        self._flush_soon()
+        queued = self._updates.get(key)
+        if queued is not None and queued[1] is AnnouncementScope.ALL:
+            scope = AnnouncementScope.ALL
+        self._updates[key] = item, scope
+        self._schedule_flush()
 
     def refute(self):
-        """Tell all hosts that this one lives, and ask for their statuses.
+        """Tell all hosts that this one is alive, and ask for their statuses.
 
         :return: None.
         """
         now = self._loop.now()
-        if now - self._refuted_at >= _REFUTE_PAUSE_SECONDS:
+        if now - self._refuted_at >= _REFUTE_SECONDS:
             self._refuted_at = now
             self.greet(self._directory.addresses)
 
-    def outbid(self, incarnation):
-        """Take a greater incarnation where another process is known under this address.
+    def raise_incarnation(self, incarnation):
+        """Choose a greater incarnation if another host knows a later one at this address.
 
-        The process before may have run under a clock that was ahead; whoever knows it would take
-        this one for the older.
+        An earlier process at this address may have run with a clock that was ahead. Hosts that know
+        its incarnation would take this process for the older one.
 
-        :param incarnation: what another host knows; may be that of this process.
+        :param incarnation: the incarnation that another host knows; may be that of this process.
         :return: None.
         """
         if incarnation > self._incarnation:
-            self._incarnation = outbid_incarnation(incarnation, _draw_chance())
-            self._told = None
+            self._incarnation = outbid_incarnation(incarnation, _draw_random_bits())
+            self._announced = None
             self.refute()
 
     def tick(self):
-        """Do what falls due with time; called several times a second.
+        """Send repeated statuses and greetings that are due; called several times a second.
 
         :return: None.
         """
         self._update_mode()
         now = self._loop.now()
-        pause_s = repeat_seconds(self._directory.size) * _REPEAT_SHARE
-        if self._is_pushing and now - self._all_told_at >= pause_s:
-            self._push(must=True)
-        self.greet([one for one in self._list_unmet(now) if self._is_greeting_due(one, now)])
+        interval_s = repeat_seconds(self._directory.size) * _REPEAT_SHARE
+        if self._is_pushing and now - self._pushed_to_all_at >= interval_s:
+            self._push(is_forced=True)
+        self.greet(
+            [address for address in self._list_unheard(now) if self._claim_greeting(address, now)]
+        )
 
     def forget(self, address):
-        """Forget a host.
+        """Drop what is stored about a host.
 
-        :param address: its links' address.
+        :param address: the host's link address.
         :return: None.
         """
         self._greeted_at.pop(address, None)
@@ -214,12 +240,12 @@
             return
         self._is_pushing = is_pushing
         if is_pushing:
-            self._push(must=True)
-        elif self._last is not None:
-            # Whoever counted on repeats would take this host for silent.
-            self._announce_own(Reach.ALL)
+            self._push(is_forced=True)
+        elif self._last_status is not None:
+            # Hosts that expect repeated statuses would take this one for silent.
+            self._announce_own(AnnouncementScope.ALL)
 
-    def _list_unmet(self, now):
+    def _list_unheard(self, now):
         directory = self._directory
         if not self._is_pushing:
             return directory.unheard
@@ -229,126 +255,132 @@
             if (view := directory.view(address)) is None or view.is_gone(now)
         ]
 
-    def _is_greeting_due(self, address, now):
+    def _claim_greeting(self, address, now):
         if self.has_greeted(address):
             return False
         self._greeted_at[address] = now
         return True
 
-    def _greet_some(self):
+    def _send_greeting_batch(self):
         data = encode(Greeting(self.next_status()))
         now = self._loop.now()
-        for _ in range(min(_GREETINGS_PER_TURN, len(self._greetings))):
-            address = self._greetings.popleft()
+        for _ in range(min(_GREETINGS_PER_BATCH, len(self._greeting_queue))):
+            address = self._greeting_queue.popleft()
             self._greeted_at[address] = now
             self._send_to(address, data)
-        if self._greetings:
-            self._loop.call_later(_GREETING_TURN_SECONDS, self._greet_some)
+        if self._greeting_queue:
+            self._loop.call_later(_GREETING_BATCH_SECONDS, self._send_greeting_batch)
 
-    def _announce_own(self, reach):
-        self._told = self._describe()
-        self._add_own(reach)
-        for wait in _AGAIN_SECONDS:
-            self._loop.call_later(wait, lambda: self._add_own(reach))
+    def _announce_own(self, scope):
+        self._announced = self._describe()
+        self._queue_own_status(scope)
+        for delay_s in _REPEAT_DELAYS_SECONDS:
+            self._loop.call_later(delay_s, lambda: self._queue_own_status(scope))
 
-    def _add_own(self, reach):
-        if self._own_reach is not Reach.ALL:
-            self._own_reach = reach
-        self._flush_soon()
+    def _queue_own_status(self, scope):
+        if self._own_scope is not AnnouncementScope.ALL:
+            self._own_scope = scope
+        self._schedule_flush()
 
-    def _flush_soon(self):
+    def _schedule_flush(self):
         if self._flush_timer is None:
-            self._flush_timer = self._loop.call_later(_LEAST_GAP_SECONDS, self._flush)
+            self._flush_timer = self._loop.call_later(_MIN_SEND_INTERVAL_SECONDS, self._flush)
 
     def _flush(self):
         self._flush_timer = None
-        news, self._news = list(self._news.values()), {}
-        own_reach, self._own_reach = self._own_reach, Reach.NOBODY
-        if own_reach is not Reach.NOBODY:
-            news.append((self.next_status(), own_reach))
+        updates, self._updates = list(self._updates.values()), {}
+        own_scope, self._own_scope = self._own_scope, AnnouncementScope.NOBODY
+        if own_scope is not AnnouncementScope.NOBODY:
+            updates.append((self.next_status(), own_scope))
         now = self._loop.now()
-        near = self._members(self._domain, lambda view: view.is_gone(now))
-        self._send_news(near, False, [item for item, _ in news])
-        for_all = [item for item, reach in news if reach is Reach.ALL]
+        same_domain = self._list_members(self._domain, lambda view: view.is_gone(now))
+        self._send_updates(same_domain, False, [item for item, _ in updates])
+        for_all = [item for item, scope in updates if scope is AnnouncementScope.ALL]
         for domain in self._directory.domains:
             if for_all and domain != self._domain:
-                self._send_news(self._choose_forwarding(domain, now), True, for_all)
+                self._send_updates(self._choose_forwarders(domain, now), True, for_all)
 
-    def _choose_forwarding(self, domain, now):
-        sound = self._members(domain, lambda view: view.is_silent(now))
-        members = sound or self._members(domain, lambda view: view.is_gone(now))
-        return self._random.sample(members, min(len(members), _FORWARDING_MEMBERS))
+    def _choose_forwarders(self, domain, now):
+        responsive = self._list_members(domain, lambda view: view.is_silent(now))
+        members = responsive or self._list_members(domain, lambda view: view.is_gone(now))
+        return self._random.sample(members, min(len(members), _FORWARDERS_PER_DOMAIN))
 
-    def _members(self, domain, is_left_out):
+    def _list_members(self, domain, is_excluded):
         directory = self._directory
         addresses = directory.in_domain(domain)
-        return [address for address in addresses if not is_left_out(directory.view(address))]
+        return [address for address in addresses if not is_excluded(directory.view(address))]
 
-    def _send_news(self, addresses, must_forward, items):
+    def _send_updates(self, addresses, must_forward, items):
         for first in range(0, len(items), _ITEMS_PER_DATAGRAM):
             data = encode(News(must_forward, tuple(items[first : first + _ITEMS_PER_DATAGRAM])))
             self._send_to_each(addresses, data)
 
     def _has_changed(self, status):
-        told = self._told
-        if told is None or _pushed_standing(status) != _pushed_standing(told):
+        announced = self._announced
+        if announced is None or _pushed_state(status) != _pushed_state(announced):
             return True
-        low, high = sorted((status.slowness, told.slowness))
-        if high >= low * _SLOWNESS_STEP:
+        low, high = sorted((status.slowness, announced.slowness))
+        if high >= low * _SLOWNESS_CHANGE_FACTOR:
             return True
-        load, told_load = status.running + status.queued, told.running + told.queued
-        return abs(load - told_load) >= _LOAD_STEP and max(load, told_load) * 2 >= status.limit
+        load, before = status.running + status.queued, announced.running + announced.queued
+        return abs(load - before) >= _LOAD_CHANGE_REQUESTS and max(load, before) * 2 >= status.limit
 
     def _push_change(self):
-        self._pending = None
+        self._push_timer = None
         if self._is_pushing:
-            self._push(must=False)
+            self._push(is_forced=False)
 
-    def _push(self, must):
+    def _push(self, is_forced):
         now = self._loop.now()
-        before, whole_before = self._told, self._whole_at
-        data = self._encode(now)
-        is_whole = self._whole_at != whole_before
-        # What everyone must know goes out whatever the budgets say: a sign of life, the names, a
-        # target that leaves, a new configuration.
-        urgent = must or is_whole or _pushed_standing(before) != _pushed_standing(self._told)
-        near, far = self._split_addresses(now)
-        if urgent or self._near_budget.spend(len(near), now):
-            self._send_to_each(near, data)
-        if urgent or self._far_budget.spend(len(far), now):
-            self._send_to_each(far, data)
-            self._all_told_at = now
+        announced_before, full_status_before = self._announced, self._full_status_at
+        data = self._encode_next(now)
+        is_full = self._full_status_at != full_status_before
+        # Sent even when the budgets are spent: every host must receive repeated and full statuses,
+        # and learn that a target leaves or that a new configuration is in force.
+        is_urgent = (
+            is_forced
+            or is_full
+            or _pushed_state(announced_before) != _pushed_state(self._announced)
+        )
+        same_domain, other_domains = self._split_addresses(now)
+        if is_urgent or self._same_domain_budget.spend(len(same_domain), now):
+            self._send_to_each(same_domain, data)
+        if is_urgent or self._other_domains_budget.spend(len(other_domains), now):
+            self._send_to_each(other_domains, data)
+            self._pushed_to_all_at = now
 
     def _split_addresses(self, now):
-        near, far = [], []
+        same_domain, other_domains = [], []
         for address in self._directory.addresses:
             view = self._directory.view(address)
             if view is not None and not view.is_gone(now):
-                (near if view.status.domain == self._domain else far).append(address)
-        return near, far
+                (same_domain if view.status.domain == self._domain else other_domains).append(
+                    address
+                )
+        return same_domain, other_domains
 
     def _send_to_each(self, addresses, data):
         for address in addresses:
             self._send_to(address, data)
 
-    def _encode(self, now):
-        told, status = self._told, self.next_status()
-        self._told, self._told_at = status, now
-        is_due = now - self._whole_at >= _WHOLE_SECONDS
-        if told is None or is_due or not has_same_names(status, told):
-            self._whole_at = now
+    def _encode_next(self, now):
+        announced, status = self._announced, self.next_status()
+        self._announced, self._pushed_at = status, now
+        is_due = now - self._full_status_at >= _FULL_STATUS_SECONDS
+        if announced is None or is_due or not has_same_names(status, announced):
+            self._full_status_at = now
             return encode(status)
         return encode_short(status)
 
 
-def _draw_chance():
+def _draw_random_bits():
     return secrets.randbits(CHANCE_BITS)
 
 
-def _standing(status):
+def _announced_state(status):
     return status.accepting, status.instance, status.crashes, status.lacks_store_access
 
 
-def _pushed_standing(status):
+def _pushed_state(status):
     versions = status.config_version, status.evacuation_version
-    return *_standing(status), *versions, status.limit
+    return *_announced_state(status), *versions, status.limit
--- a/packages/relay/src/camphorshelf_relay/datagrams.py
+++ b/packages/relay/src/camphorshelf_relay/datagrams.py
@@ -1,15 +1,20 @@
-"""The datagram socket on which nodes talk about membership and load."""
+"""The UDP socket on which nodes exchange membership and load messages."""
 
 import socket
 
 from camphorshelf_node.loop import READABLE
 
-_MAX_DATAGRAM = 8_192
-_DATAGRAMS_PER_TURN = 64
+_MAX_DATAGRAM_BYTES = 8_192
+_MAX_DATAGRAMS_PER_TURN = 64
 
 
 class DatagramSocket:
-    """Sends datagrams and hands on those that arrive; all nodes use the same port."""
+    """Sends datagrams and passes received ones to a callback; all nodes use the same port.
+
+    :param loop: the node's loop.
+    :param address: the pair of IP address and port to bind.
+    :param on_datagram: takes a datagram's bytes and the sender's IP address.
+    """
 
     def __init__(self, loop, address, on_datagram):
         self._loop = loop
@@ -19,7 +24,7 @@
         self.counts = {"sent": 0, "failed": 0}
 
     def start(self):
-        """Begin to listen.
+        """Bind the socket and start receiving.
 
         :return: None.
         """
@@ -32,20 +37,21 @@
         """Send a datagram to another node.
 
         :param ip: the host's IP address.
-        :param data: the bytes.
+        :param data: the datagram's bytes.
         :return: None.
         """
         try:
             self._socket.sendto(data, (ip, self._address[1]))
             self.counts["sent"] += 1
         except OSError:
-            # Full buffers and unreachable hosts look alike; the next status makes up for it.
+            # A full send buffer and an unreachable host are not told apart. Nothing is resent: the
+            # next status replaces the lost one.
             self.counts["failed"] += 1
 
     def _on_readable(self, _mask):
-        for _ in range(_DATAGRAMS_PER_TURN):
+        for _ in range(_MAX_DATAGRAMS_PER_TURN):
             try:
-                data, (ip, _) = self._socket.recvfrom(_MAX_DATAGRAM)
+                data, (ip, _) = self._socket.recvfrom(_MAX_DATAGRAM_BYTES)
             except OSError:
                 return
             self._on_datagram(data, ip)
--- a/packages/relay/src/camphorshelf_relay/discovery.py
+++ b/packages/relay/src/camphorshelf_relay/discovery.py
@@ -1,28 +1,29 @@
-"""Nodes find each other by one row a host in the store; from then on by what they tell each other.
+"""Host discovery: each host has one row with its address in the store.
 
-A row is written when a host is there for the first time, and the rows are read at each start: a
-node that was there before hears of a new one by its greeting. So the store's calls grow with
-starts, not with hosts and time; a restart is one call.
+A host writes its row at its first start and reads all rows at each start. A running node learns of
+a new host from the greeting that the new host sends. Calls to the store therefore grow with the
+number of starts and not with hosts and time; a restart costs one call.
 """
 
 import cbor2
 
 from camphorshelf_core.hosts import is_address
 
-from .storeport import MAX_WAIT_SECONDS, StoreFailure, wait_after
+from .storeport import MAX_RETRY_DELAY_SECONDS, StoreFailure, retry_delay
 
 TABLE = "hosts"
-# When a whole system starts for the first time, its nodes read at random moments within this time:
-# most are greeted meanwhile by one that has read, and learn the others from it.
-_FIRST_READ_SECONDS = 0.8
-# While other hosts are heard, this one is known to them: nothing waits for its row. Once they have
-# told all addresses, the row only matters to hosts that start later.
-_SELDOM_SECONDS = 5.0
-_KNOWN_SECONDS = 30.0
+# At the first start of a whole system each node reads the rows after a random delay of up to this
+# long. Most nodes are greeted before that by a node that has read, and get all addresses from it.
+_FIRST_READ_SPREAD_SECONDS = 0.8
+# Longest retry delay while other hosts are heard: they know this host, so its row is not urgent.
+_HEARD_RETRY_SECONDS = 5.0
+# Longest retry delay once another host has sent all addresses: the row then matters only to hosts
+# that start later.
+_ALL_ADDRESSES_RETRY_SECONDS = 30.0
 
 
 class Discovery:
-    """Reads the hosts' rows, and writes the own one where it is missing."""
+    """Reads the rows of all hosts, and writes this host's row where it is missing or outdated."""
 
     def __init__(self, loop, settings, store, peers, random, log):
         self._loop = loop
@@ -34,11 +35,11 @@
         self._failures = 0
         self._address = settings.addresses.links.text
         self.done = False
-        # Told the names of all hosts that have a row.
+        # Called with the names of all hosts that have a valid row, once the rows have been read.
         self.on_done = lambda names: None
 
     def start(self):
-        """Begin; goes on until it has succeeded.
+        """Start discovery; failed calls to the store are retried until it is done.
 
         :return: None.
         """
@@ -52,19 +53,19 @@
         self._store.put(TABLE, self._settings.name, row, self._on_written)
 
     def _on_written(self, result):
-        if self._failed(result, self._write):
+        if self._retry_on_failure(result, self._write):
             return
-        # Read once more: of two hosts that are new at the same time at least one then finds the
-        # other, for it reads after both have written. A host that told this one its addresses has
-        # read after this write, for it found this host by its row.
+        # The rows are read after the write: of two hosts that start at the same time, the one that
+        # reads after both writes finds the other. A host that has sent its addresses to this one
+        # found this host by its row, so it has read after this write.
         if self._settings.is_first_start:
-            wait = self._random.uniform(0.0, _FIRST_READ_SECONDS)
-            self._loop.call_later(wait, self._read_unless_known)
+            delay_s = self._random.uniform(0.0, _FIRST_READ_SPREAD_SECONDS)
+            self._loop.call_later(delay_s, self._read_unless_known)
         else:
             self._read()
 
     def _read_unless_known(self):
-        if self._peers.has_roster:
+        if self._peers.has_all_addresses:
             self.done = True
         else:
             self._read()
@@ -73,35 +74,37 @@
         self._store.read(TABLE, self._on_read)
 
     def _on_read(self, result):
-        if self._failed(result, self._read):
+        if self._retry_on_failure(result, self._read):
             return
-        addresses = {row.key: _read_address(row.value) for row in result.rows}
+        addresses = {row.key: _parse_address(row.value) for row in result.rows}
         if addresses.get(self._settings.name) != self._address:
             self._write()
             return
         self.done = True
-        known = {name: address for name, address in addresses.items() if address}
-        if len(known) < len(addresses):
-            self._log.notable("host_rows_refused", count=len(addresses) - len(known))
-        self._peers.learn(known.values())
-        self.on_done(known.keys())
+        valid = {name: address for name, address in addresses.items() if address}
+        if len(valid) < len(addresses):
+            self._log.notable("host_rows_refused", count=len(addresses) - len(valid))
+        self._peers.add_addresses(valid.values())
+        self.on_done(valid.keys())
 
-    def _failed(self, result, again):
+    def _retry_on_failure(self, result, retry):
         if not isinstance(result, StoreFailure):
             self._failures = 0
             return False
         self._failures += 1
-        is_heard = bool(self._peers.directory.live(self._loop.now()))
-        if self._peers.has_roster:
-            wait = self._random.uniform(_KNOWN_SECONDS / 2, _KNOWN_SECONDS)
+        is_any_heard = bool(self._peers.directory.live(self._loop.now()))
+        if self._peers.has_all_addresses:
+            delay_s = self._random.uniform(
+                _ALL_ADDRESSES_RETRY_SECONDS / 2, _ALL_ADDRESSES_RETRY_SECONDS
+            )
         else:
-            longest = _SELDOM_SECONDS if is_heard else MAX_WAIT_SECONDS
-            wait = wait_after(self._failures, self._random, longest)
-        self._loop.call_later(wait, again)
+            max_delay_s = _HEARD_RETRY_SECONDS if is_any_heard else MAX_RETRY_DELAY_SECONDS
+            delay_s = retry_delay(self._failures, self._random, max_delay_s)
+        self._loop.call_later(delay_s, retry)
         return True
 
 
-def _read_address(value):
+def _parse_address(value):
     try:
         address = cbor2.loads(value or b"")
     except (cbor2.CBORDecodeError, ValueError):
--- a/packages/relay/src/camphorshelf_relay/evacuations.py
+++ b/packages/relay/src/camphorshelf_relay/evacuations.py
@@ -1,68 +1,68 @@
-"""The evacuations in force: from the store or from another node that knows of a newer change."""
+"""The evacuations in force, as read from the store or received from another node."""
 
 from camphorshelf_core.evacuation import Evacuations
 
-from .announcer import Reach
+from .announcer import AnnouncementScope
 
 
-class EvacuationKeeper:
-    """Holds what this node knows of evacuations, and tells of changes.
+class EvacuationState:
+    """Holds the newest evacuations known to this node and reports changes to callbacks.
 
     :param log: the :class:`~camphorshelf_relay.eventlog.EventLog`.
     """
 
     def __init__(self, log):
         self._log = log
-        self._held = Evacuations()
+        self._current = Evacuations()
         self._on_change = []
 
     @property
-    def held(self):
+    def current(self):
         """The :class:`~camphorshelf_core.evacuation.Evacuations` in force."""
-        return self._held
+        return self._current
 
     def on_change(self, callback):
-        """Say what to do when other failure domains are evacuated than before.
+        """Register a callback for changes of the set of evacuated failure domains.
 
-        :param callback: takes the :class:`~camphorshelf_relay.announcer.Reach` of those that have
-            not heard of it.
+        :param callback: takes the :class:`~camphorshelf_relay.announcer.AnnouncementScope` in
+            which the change has to be announced.
         :return: None.
         """
         self._on_change.append(callback)
 
-    def take_rows(self, domains, version):
-        """Take in what the store holds.
+    def apply_rows(self, domains, version):
+        """Apply the evacuations read from the store.
 
         :param domains: the versions of the operators' rows, by failure domain.
-        :param version: the store's version for which they hold.
+        :param version: the store's version at which the rows were read.
         :return: None.
         """
-        self.take(self._held.renew(domains, version), Reach.ALL)
+        self.apply(self._current.renew(domains, version), AnnouncementScope.ALL)
 
-    def take(self, evacuations, reach):
-        """Take in what another node knows, unless this one knows of a later version.
+    def apply(self, evacuations, scope):
+        """Replace the evacuations in force by another node's if those are newer.
 
-        :param evacuations: its :class:`~camphorshelf_core.evacuation.Evacuations`.
-        :param reach: the :class:`~camphorshelf_relay.announcer.Reach` of those that have not heard
-            of it.
+        :param evacuations: the other node's :class:`~camphorshelf_core.evacuation.Evacuations`.
+        :param scope: the :class:`~camphorshelf_relay.announcer.AnnouncementScope` in which a change
+            has to be announced.
         :return: None.
         """
-        before = self._held
+        before = self._current
         if evacuations.as_of <= before.as_of:
             return
-        self._held = evacuations
+        self._current = evacuations
         if evacuations.domains != before.domains:
-            self._tell(before, reach)
+            self._report_change(before, scope)
 
-    def _tell(self, before, reach):
-        held = self._held
-        for domain in sorted(before.domains.keys() ^ held.domains.keys()):
+    def _report_change(self, before, scope):
+        current = self._current
+        for domain in sorted(before.domains.keys() ^ current.domains.keys()):
             self._log.notable(
                 "evacuation",
                 domain=domain,
-                evacuated=domain in held.domains,
-                row_version=held.domains.get(domain, before.domains.get(domain)),
-                as_of=held.as_of,
+                evacuated=domain in current.domains,
+                row_version=current.domains.get(domain, before.domains.get(domain)),
+                as_of=current.as_of,
             )
         for callback in self._on_change:
-            callback(reach)
+            callback(scope)
--- a/packages/relay/src/camphorshelf_relay/linkpool.py
+++ b/packages/relay/src/camphorshelf_relay/linkpool.py
@@ -1,13 +1,13 @@
-"""The links to other hosts' nodes, one to each that was used."""
+"""The links (persistent connections) to other nodes, at most one per host."""
 
 from camphorshelf_node.links import PeerLink
 
-# A link without any sign of life for so long while an answer is due takes no new requests.
+# A link on which nothing arrives for this long while an answer is due accepts no new requests.
 LINK_SILENCE_SECONDS = 0.6
 
 
 class LinkPool:
-    """Opens links when they are first used and hands them out again."""
+    """Opens a link to a host on first use and reuses it afterwards."""
 
     def __init__(self, loop, is_alive, probe):
         self._loop = loop
@@ -16,9 +16,9 @@
         self._links = {}
 
     def link(self, address):
-        """Find the link to a host, or open one.
+        """Return the open link to a host, or open a new one.
 
-        :param address: the host's address for links.
+        :param address: the host's link address, as ``ip:port``.
         :return: a :class:`~camphorshelf_node.links.PeerLink`.
         """
         link = self._links.get(address)
@@ -34,9 +34,9 @@
         return link
 
     def drop(self, address):
-        """Close the link to a host that is forgotten.
+        """Close and remove the link to a host, if there is one.
 
-        :param address: the host's address for links.
+        :param address: the host's link address.
         :return: None.
         """
         link = self._links.pop(address, None)
--- a/packages/relay/src/camphorshelf_relay/node.py
+++ b/packages/relay/src/camphorshelf_relay/node.py
@@ -14,7 +14,7 @@
 from camphorshelf_core.warmup import WarmUp
 from camphorshelf_node.loop import Loop
 
-from .configkeeper import ConfigKeeper
+from .configsync import ConfigSynchronizer
 from .crashes import CrashWatch
 from .discovery import Discovery
 from .eventlog import EventLog
@@ -105,18 +105,18 @@
             ports.dialect,
             self._admission,
             log,
-            on_change=self._peers.tell,
+            on_change=self._peers.announce_changes,
             on_crash=self._crashes.note_crash,
         )
         self._gate = Gate(
             loop, settings, ports.dialect, self._admission, self._target, self._crashes, log
         )
         store = ports.store(loop, settings.addresses.store)
-        self._config = ConfigKeeper(
+        self._config = ConfigSynchronizer(
             loop, settings, store, self._peers, ports.readers, self._random, log
         )
         self._discovery = Discovery(loop, settings, store, self._peers, self._random, log)
-        self._discovery.on_done = self._config.begin_among
+        self._discovery.on_done = self._config.start_if_default_poller
         self._router = Router(
             loop,
             settings,
@@ -227,11 +227,11 @@
             repeat_s=0.0,
             crashes=self._crashes.told,
             start_wait_s=round(admission.warm_up.wait_s(self._loop.now()), 3),
-            evacuation_version=self._config.evacuations.held.changed_at,
+            evacuation_version=self._config.evacuations.current.changed_at,
         )
 
     def _hear(self, view, is_forwarded):
-        self._config.hear(view, is_forwarded)
+        self._config.on_peer_status(view, is_forwarded)
         self._crashes.hear(view.status.host, view.status.crashes)
 
     def _own_view(self):
@@ -242,11 +242,11 @@
 
     def _on_config(self, config):
         self._target.configure(config.services.get(self._settings.service))
-        self._peers.tell_version(self._config.reach)
+        self._peers.announce_version(self._config.announcement_scope)
 
     def _on_evacuation(self, reach):
-        self._target.evacuate(self._settings.domain in self._config.evacuations.held.domains)
-        self._peers.tell_version(reach)
+        self._target.evacuate(self._settings.domain in self._config.evacuations.current.domains)
+        self._peers.announce_version(reach)
 
     def _answer_readiness(self, _request):
         if self.ready:
@@ -275,7 +275,7 @@
             service=before.service,
             addresses=before.addresses,
         )
-        self._router.take_settings(self._settings)
+        self._router.apply_settings(self._settings)
         self._target.take_settings(self._settings)
 
     def _on_sigterm(self, _number, _frame):
--- a/packages/relay/src/camphorshelf_relay/nodemetrics.py
+++ b/packages/relay/src/camphorshelf_relay/nodemetrics.py
@@ -49,7 +49,7 @@
         parts.gate.counts,
         "outcome",
     )
-    count("retries", "Retries by service and verdict.", parts.router.retries, "service verdict")
+    count("retries", "Retries by service and verdict.", parts.router.retry_counts, "service verdict")
     count("store.calls", "Calls to the store.", parts.store.counts, "kind outcome")
     count("statuses", "Statuses of hosts.", parts.peers.counts, "outcome")
     count("datagrams", "Datagrams to other hosts.", parts.peers.datagram_counts, "outcome")
@@ -70,7 +70,7 @@
     watch("target.accepting", "1 while work is let in.", lambda: int(target.accepting))
     watch("target.cold", "1 while starts are limited.", lambda: int(target.is_limited))
     evacuations = parts.config.evacuations
-    watch("evacuated", "Evacuated failure domains.", lambda: len(evacuations.held.domains))
+    watch("evacuated", "Evacuated failure domains.", lambda: len(evacuations.current.domains))
     watch("ready", "1 while callers should come.", lambda: int(parts.is_ready()))
     watch("config.version", "The configuration in force.", lambda: parts.config.version)
     watch("store.age", "Seconds since the store answered.", lambda: parts.config.store_age_s)
--- a/packages/relay/src/camphorshelf_relay/peers.py
+++ b/packages/relay/src/camphorshelf_relay/peers.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other: datagrams about statuses and failures, and links for requests."""
+"""The other hosts of the fleet: their statuses, their failures, and the links to them."""
 
 import random
 
@@ -25,51 +25,61 @@
     split_addresses,
 )
 
-from .announcer import Announcer, Reach
+from .announcer import AnnouncementScope, Announcer
 from .datagrams import DatagramSocket
 from .linkpool import LINK_SILENCE_SECONDS, LinkPool
 from .prober import Prober
 
 _STEP_SECONDS = 0.1
-# The announcer's time, and the longest between two ticks: each one wakes the process.
+# The announcer's interval and the longest time between two ticks, in steps. Ticks are kept few
+# because each one wakes the process.
 _STEPS_PER_TICK = 2
 # A silent link is kept while its host, which has just been probed, was heard within this time.
 _ALIVE_SECONDS = LINK_SILENCE_SECONDS * 1.5
-# All others are greeted within this time of the start.
-_GREETING_SECONDS = 1.0
-# A suspicion is announced again after these times.
-_AGAIN_SECONDS = (0.5, 1.5)
-# Answers to greetings that a node sends at most, however many hosts start in the same moment.
+# A node greets all other hosts within this time of its start.
+_STARTUP_SECONDS = 1.0
+# A suspicion is announced again after these delays.
+_REPEAT_DELAYS_SECONDS = (0.5, 1.5)
+# Limit on the answers to greetings, however many hosts start at the same moment.
 _GREETING_ANSWERS_PER_SECOND = 500
-# A node without the roster asks the hosts that it hears for addresses, this often at most.
-_ADDRESSES_PAUSE_SECONDS = 0.3
+# Minimum interval between two requests for addresses by a node that does not have all of them.
+_ADDRESSES_REQUEST_SECONDS = 0.3
 _FORGET_SECONDS = 5.0
-# One of the hosts that were forgotten is greeted so often; when one answers, so many more, for it
-# may have been cut off with others.
-_SEEK_SECONDS = 2.0
-_SOUGHT_AT_ONCE = 20
+# How often one forgotten host is greeted. When one of them answers, this many more are greeted, for
+# they may have been cut off together with it.
+_FORGOTTEN_GREETING_SECONDS = 2.0
+_FORGOTTEN_GREETINGS_AFTER_RETURN = 20
 
 
 class Peers:
-    """Tells the other hosts of this one, and keeps what they tell."""
+    """Announces this host to the others, tracks their statuses, and opens links to them.
 
-    def __init__(self, loop, settings, describe, log, chance=None):
+    :param loop: the node's loop.
+    :param settings: the :class:`~camphorshelf_relay.settings.NodeSettings`.
+    :param describe: returns this host's :class:`~camphorshelf_core.hosts.HostStatus`.
+    :param log: the :class:`~camphorshelf_relay.eventlog.EventLog`.
+    :param rng: the source of random numbers; None for a new one.
+    """
+
+    def __init__(self, loop, settings, describe, log, rng=None):
         self._loop = loop
         self._settings = settings
         self._log = log
-        self._random = chance or random.Random()
+        self._random = rng or random.Random()
         self._directory = HostDirectory()
         self._started_at = loop.now()
-        self._incarnations = {}
-        self._alive = set()
-        # Who asked this node to probe a host and waits for its status, by that host.
+        # Needed because a short status names its host by its incarnation only.
+        self._addresses_by_incarnation = {}
+        self._live_addresses = set()
+        # The IP addresses of hosts that asked this node to probe another one and wait for its
+        # status, by the address of the probed host.
         self._indirect_probes = {}
-        self._has_roster = False
+        self._has_all_addresses = False
         self._steps = 0
-        self._addresses_asked_at = 0.0
+        self._addresses_requested_at = 0.0
         self._own_address = settings.addresses.links.text
         self._datagrams = DatagramSocket(loop, settings.addresses.datagrams, self.receive)
-        self._answer_budget = TokenBucket(
+        self._greeting_answer_budget = TokenBucket(
             _GREETING_ANSWERS_PER_SECOND, _GREETING_ANSWERS_PER_SECOND, loop.now()
         )
         self._detector = FailureDetector(self._directory, settings.domain, self._random, loop.now())
@@ -82,107 +92,107 @@
             HostStatus: lambda status, ip: self._on_status(status),
             Greeting: self._on_greeting,
             StatusRequest: self._on_status_request,
-            UnknownShort: self._on_unknown_short,
-            News: self._on_news,
+            UnknownShort: self._on_unresolved_short_status,
+            News: self._on_member_updates,
             ProbeRequest: self._on_probe_request,
             AddressesRequest: self._on_addresses_request,
             Addresses: lambda message, ip: self._on_addresses(message),
         }
         self.counts = {"received": 0, "unused": 0, "suspected": 0}
-        # Told the view of each host that said something new, and whether this node hands that on
-        # in its failure domain.
+        # Called with the view of each host that has sent a newer status, and whether this node
+        # forwards that status in its failure domain.
         self.on_status = lambda view, is_forwarded: None
 
     @property
     def directory(self):
-        """The :class:`~camphorshelf_core.directory.HostDirectory`."""
+        """The :class:`~camphorshelf_core.directory.HostDirectory` of the other hosts."""
         return self._directory
 
     @property
-    def has_roster(self):
-        """Whether the addresses of all hosts were learned, from the store or from a host."""
-        return self._has_roster
+    def has_all_addresses(self):
+        """Whether the addresses of all hosts are known, from the store or from another host."""
+        return self._has_all_addresses
 
     @property
     def prober(self):
-        """The :class:`~camphorshelf_relay.prober.Prober` of other hosts' statuses."""
+        """The :class:`~camphorshelf_relay.prober.Prober` of other hosts' load."""
         return self._prober
 
     @property
     def datagram_counts(self):
-        """Datagrams to other hosts, by outcome."""
+        """Counts of the datagrams sent to other hosts, by outcome."""
         return self._datagrams.counts
 
     def start(self):
-        """Begin to listen and to tell.
+        """Start receiving datagrams, probing and announcing.
 
         :return: None.
         """
         self._datagrams.start()
-        self.start_ticking()
+        self.start_timers()
 
-    def start_ticking(self):
-        """Begin to probe and to tell, where datagrams are brought in by somebody else.
+    def start_timers(self):
+        """Start probing and announcing without the socket; :meth:`receive` gets the datagrams.
 
         :return: None.
         """
-        # Counted as passed, so that probes and the announcer share their ticks.
+        # One step short of a full tick, so that the detector and the announcer share their ticks.
         self._steps = _STEPS_PER_TICK - 1
-        self._tick_after(1)
-        self._loop.call_every(_FORGET_SECONDS, self._forget)
-        self._loop.call_every(_SEEK_SECONDS, lambda: self._seek_forgotten(1))
+        self._schedule_tick(1)
+        self._loop.call_every(_FORGET_SECONDS, self._forget_silent)
+        self._loop.call_every(_FORGOTTEN_GREETING_SECONDS, lambda: self._greet_forgotten(1))
 
-    def learn(self, addresses):
-        """Take in addresses of hosts, and greet those that are new.
+    def add_addresses(self, addresses):
+        """Add the addresses of all hosts, and greet the hosts that are new.
 
-        :param addresses: links' addresses as ``ip:port``.
+        :param addresses: the hosts' link addresses, as ``ip:port``.
         :return: None.
         """
-        self._has_roster = True
+        self._has_all_addresses = True
         self._greet_new(addresses)
 
     def _greet_new(self, addresses):
         now = self._loop.now()
-        found = [
+        new_addresses = [
             address
             for address in addresses
             if address != self._own_address and self._directory.learn(address, now)
         ]
-        for address in found:
+        for address in new_addresses:
             self._log.notable("host_found", address=address)
-        self._announcer.greet(found)
+        self._announcer.greet(new_addresses)
 
-    def tell(self):
-        """Tell the others soon, if something changed that matters to them.
+    def announce_changes(self):
+        """Announce this host's status soon if it has changed in a way that matters to others.
 
         :return: None.
         """
-        self._announcer.tell()
+        self._announcer.announce_changes()
 
-    def tell_version(self, reach):
-        """Tell that another version of the configuration is in force here.
+    def announce_version(self, scope):
+        """Announce that another version of the configuration or evacuations is in force here.
 
-        :param reach: the :class:`~camphorshelf_relay.announcer.Reach` of the news.
+        :param scope: the :class:`~camphorshelf_relay.announcer.AnnouncementScope`.
         :return: None.
         """
-        self._announcer.tell_version(reach)
+        self._announcer.announce_version(scope)
 
     def link(self, address):
-        """Find the link to a host, or open one.
+        """Return the open link to a host, or open a new one.
 
-        :param address: the host's address for links.
+        :param address: the host's link address.
         :return: a :class:`~camphorshelf_node.links.PeerLink`.
         """
         return self._links.link(address)
 
     def receive(self, data, ip):
-        """Take in a datagram.
+        """Handle a received datagram.
 
-        :param data: its bytes.
-        :param ip: who sent it.
+        :param data: the datagram's bytes.
+        :param ip: the sender's IP address.
         :return: None.
         """
-        message = decode(data, self._find)
+        message = decode(data, self._find_status)
         if message is None:
             self.counts["unused"] += 1
         else:
@@ -207,7 +217,7 @@
                 self._detector.note_probe(address, now)
         self._send_to(address, encode(request))
 
-    def _tick_after(self, steps):
+    def _schedule_tick(self, steps):
         self._steps += steps
         self._loop.call_later(steps * _STEP_SECONDS, self._run_tick)
 
@@ -215,9 +225,9 @@
         try:
             self._tick()
         finally:
-            next_at = self._loop.now() + _STEP_SECONDS
-            is_early = self._steps > 0 or self._detector.due_at <= next_at
-            self._tick_after(1 if is_early else _STEPS_PER_TICK)
+            next_step_at = self._loop.now() + _STEP_SECONDS
+            is_early = self._steps > 0 or self._detector.due_at <= next_step_at
+            self._schedule_tick(1 if is_early else _STEPS_PER_TICK)
 
     def _tick(self):
         for action in self._detector.tick(self._loop.now()):
@@ -226,64 +236,65 @@
             elif isinstance(action, IndirectProbe):
                 self._send_to(action.proxy, encode(ProbeRequest(action.address)))
             else:
-                self._note_suspected(action, "probe")
+                self._record_suspicion(action, "probe")
                 self._announce_suspicion(action)
         if self._steps >= _STEPS_PER_TICK:
             self._steps = 0
             self._announcer.tick()
 
     def _announce_suspicion(self, suspicion):
-        self._announcer.forward(suspicion, Reach.ALL)
-        # The members that forward it may be dead themselves, and not yet known to be.
-        for wait in _AGAIN_SECONDS:
-            self._loop.call_later(wait, lambda: self._repeat_suspicion(suspicion))
+        self._announcer.forward(suspicion, AnnouncementScope.ALL)
+        # Repeated because the hosts that should forward it may be dead themselves and not yet
+        # suspected.
+        for delay_s in _REPEAT_DELAYS_SECONDS:
+            self._loop.call_later(delay_s, lambda: self._repeat_suspicion(suspicion))
 
     def _repeat_suspicion(self, suspicion):
         view = self._directory.view(suspicion.address)
         if view is not None and view.suspected_at is not None:
-            self._announcer.forward(suspicion, Reach.ALL)
+            self._announcer.forward(suspicion, AnnouncementScope.ALL)
 
-    def _note_suspected(self, suspicion, source):
+    def _record_suspicion(self, suspicion, source):
         self.counts["suspected"] += 1
-        self._alive.discard(suspicion.address)
+        self._live_addresses.discard(suspicion.address)
         self._log.notable("host_silent", address=suspicion.address, source=source)
 
     def _send_to(self, address, data):
         self._datagrams.send(address.rpartition(":")[0], data)
 
     def _on_status(self, status):
-        is_new = self._is_new(status, self._loop.now())
-        if self._take(status) and is_new:
-            # It cannot know yet that this host is here, nor which configuration is in force.
+        is_new = self._is_new_process(status, self._loop.now())
+        if self._apply_status(status) and is_new:
+            # The new process cannot know this host or the configuration in force yet.
             self._send_to(status.address, encode(self._announcer.next_status()))
 
     def _on_greeting(self, greeting, ip):
-        self._take(greeting.status)
-        # Where all have started together each greets all others anyway.
+        self._apply_status(greeting.status)
+        # When all nodes start together, each greets all others anyway and needs no answer.
         is_greeted = self._announcer.has_greeted(greeting.status.address)
-        if not is_greeted and self._answer_budget.spend(1, self._loop.now()):
+        if not is_greeted and self._greeting_answer_budget.spend(1, self._loop.now()):
             self._datagrams.send(ip, encode(self._announcer.next_status()))
 
     def _on_status_request(self, request, ip):
-        self._announcer.outbid(request.incarnation)
+        self._announcer.raise_incarnation(request.incarnation)
         status = self._announcer.next_status()
         is_known = request.incarnation == status.incarnation
-        short = is_known and request.revision == status.revision
-        self._datagrams.send(ip, encode_short(status) if short else encode(status))
+        is_short = is_known and request.revision == status.revision
+        self._datagrams.send(ip, encode_short(status) if is_short else encode(status))
         if request.is_suspected and is_known:
             self._announcer.refute()
 
-    def _on_unknown_short(self, _message, ip):
+    def _on_unresolved_short_status(self, _message, ip):
         self._datagrams.send(ip, encode(StatusRequest("", 0, False)))
 
-    def _on_news(self, news, _ip):
-        for item in news.items:
+    def _on_member_updates(self, message, _ip):
+        for item in message.items:
             if isinstance(item, Suspicion):
                 self._on_suspicion(item)
             else:
-                self._take(item, news.must_forward)
-            if news.must_forward:
-                self._announcer.forward(item, Reach.DOMAIN)
+                self._apply_status(item, message.must_forward)
+            if message.must_forward:
+                self._announcer.forward(item, AnnouncementScope.DOMAIN)
 
     def _on_suspicion(self, suspicion):
         if suspicion.address == self._own_address:
@@ -292,13 +303,13 @@
         view = self._directory.view(suspicion.address)
         now = self._loop.now()
         if view is not None and view.suspect(suspicion.incarnation, now):
-            self._note_suspected(suspicion, "news")
+            self._record_suspicion(suspicion, "news")
 
     def _on_own_suspicion(self, suspicion):
         if suspicion.incarnation == self._announcer.incarnation:
             self._announcer.refute()
         else:
-            self._announcer.outbid(suspicion.incarnation)
+            self._announcer.raise_incarnation(suspicion.incarnation)
 
     def _on_probe_request(self, request, ip):
         self._indirect_probes.setdefault(request.address, set()).add(ip)
@@ -310,16 +321,16 @@
 
     def _on_addresses(self, message):
         self._greet_new(message.addresses)
-        # Where a part of the answer was lost, the next host that is heard is asked again.
-        self._has_roster = self._directory.size + 1 >= message.total
+        # When a datagram of the answer is lost, the next host that sends a status is asked again.
+        self._has_all_addresses = self._directory.size + 1 >= message.total
 
-    def _find(self, incarnation):
-        view = self._directory.view(self._incarnations.get(incarnation))
+    def _find_status(self, incarnation):
+        view = self._directory.view(self._addresses_by_incarnation.get(incarnation))
         if view is None or view.status.incarnation != incarnation:
             return None
         return view.status
 
-    def _take(self, status, is_forwarded=False):
+    def _apply_status(self, status, is_forwarded=False):
         if status.address == self._own_address:
             return False
         self.counts["received"] += 1
@@ -328,18 +339,18 @@
         if not self._directory.take(status, now):
             return False
         if was_forgotten:
-            self._seek_forgotten(_SOUGHT_AT_ONCE)
-        self._incarnations[status.incarnation] = status.address
+            self._greet_forgotten(_FORGOTTEN_GREETINGS_AFTER_RETURN)
+        self._addresses_by_incarnation[status.incarnation] = status.address
         self._detector.note_heard(status.address)
-        self._prober.note_heard(status.address)
+        self._prober.record_contact(status.address)
         for ip in self._indirect_probes.pop(status.address, ()):
             self._datagrams.send(ip, encode(status))
-        self._note_alive(status)
-        self._ask_for_addresses(status.address, now)
+        self._record_live(status)
+        self._request_addresses(status.address, now)
         self.on_status(self._directory.view(status.address), is_forwarded)
         return True
 
-    def _seek_forgotten(self, count):
+    def _greet_forgotten(self, count):
         forgotten = [
             address
             for address in self._directory.forgotten
@@ -347,37 +358,42 @@
         ]
         self._announcer.greet(self._random.sample(forgotten, min(count, len(forgotten))))
 
-    def _is_new(self, status, now):
+    def _is_new_process(self, status, now):
         view = self._directory.view(status.address)
         if view is None:
             return True
-        # Where all have started together each greets all others anyway.
+        # When all nodes start together, each greets all others anyway and needs no answer.
         return view.status.incarnation != status.incarnation and (
-            now - self._started_at > _GREETING_SECONDS
+            now - self._started_at > _STARTUP_SECONDS
         )
 
-    def _ask_for_addresses(self, address, now):
-        # The store's rows cannot be read now, or not yet; another host knows the others.
-        if self._has_roster or now - self._addresses_asked_at < _ADDRESSES_PAUSE_SECONDS:
+    def _request_addresses(self, address, now):
+        # While the store's rows have not been read, another host can send all addresses.
+        if (
+            self._has_all_addresses
+            or now - self._addresses_requested_at < _ADDRESSES_REQUEST_SECONDS
+        ):
             return
-        self._addresses_asked_at = now
+        self._addresses_requested_at = now
         self._send_to(address, encode(AddressesRequest()))
 
-    def _note_alive(self, status):
-        if status.address not in self._alive:
-            self._alive.add(status.address)
+    def _record_live(self, status):
+        if status.address not in self._live_addresses:
+            self._live_addresses.add(status.address)
             self._log.notable("host_heard", name=status.host, address=status.address)
 
-    def _forget(self):
+    def _forget_silent(self):
         now = self._loop.now()
-        for address in list(self._alive):
+        for address in list(self._live_addresses):
             view = self._directory.view(address)
             if view is None or view.is_gone(now):
-                self._alive.discard(address)
+                self._live_addresses.discard(address)
                 self._log.notable("host_silent", address=address, source="silence")
-        held = {view.status.incarnation for view in self._directory.views()}
-        self._incarnations = {
-            name: address for name, address in self._incarnations.items() if name in held
+        known = {view.status.incarnation for view in self._directory.views()}
+        self._addresses_by_incarnation = {
+            incarnation: address
+            for incarnation, address in self._addresses_by_incarnation.items()
+            if incarnation in known
         }
         self._indirect_probes.clear()
         for address in self._directory.forget_silent(now):
--- a/packages/relay/src/camphorshelf_relay/relay.py
+++ b/packages/relay/src/camphorshelf_relay/relay.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way: which targets it is offered to, and its one answer."""
+"""One caller's request at the entry node: the targets that it is sent to, and its one response."""
 
 from camphorshelf_core.calls import Response
 from camphorshelf_core.errors import Code, Ran, Refusal
@@ -11,45 +11,61 @@
 from camphorshelf_core.retryafter import retry_after, retry_after_shed
 from camphorshelf_node.headers import strip_hop_by_hop
 
-# Targets' nodes that a request is offered to in turn before it is refused.
-_MAX_OFFERS = 3
-_LEAST_SECONDS = 0.01
-# Up to this share of its latency objective a request may be held and refused all the same: its
-# caller still has most of the time to retry.
-_HELD_SHARE = 0.125
+# After this many offers a request is only offered as late work, or refused.
+_MAX_ON_TIME_OFFERS = 3
+_MIN_REMAINING_SECONDS = 0.01
+# A request that was held for up to this share of its latency objective may still be refused: its
+# caller has most of the time left for a retry.
+_MAX_HELD_SHARE = 0.125
 
 
 class Relay:
-    """Drives one request to its single answer."""
+    """Sends one request to targets until it gets its single response or refusal.
 
-    def __init__(self, router, exchange, route, terms):
+    :param router: the :class:`~camphorshelf_relay.router.Router`.
+    :param exchange: the request's :class:`~camphorshelf_node.exchange.Exchange`.
+    :param route: the request's :class:`~camphorshelf_core.routes.Route`.
+    :param caller_metadata: the :class:`~camphorshelf_relay.settings.CallerMetadata`.
+    """
+
+    def __init__(self, router, exchange, route, caller_metadata):
         self._router = router
         self._loop = router.loop
         self._exchange = exchange
         self._route = route
-        self._terms = terms
-        self._service = router.pick_part(route)
-        self._facts = router.book.facts(route)
-        self._arrived = exchange.received
-        wait_s = route.timeout_s if terms.wait_s is None else min(terms.wait_s, route.timeout_s)
-        elapsed_s = 0.0 if terms.wait_s is None else self._facts.elapsed_before(terms.wait_s)
-        self._expires_at = self._arrived + wait_s
-        self._objective_at = self._arrived + route.objective_s - elapsed_s
+        self._caller_metadata = caller_metadata
+        self._service = router.pick_service(route)
+        self._stats = router.route_stats.get(route)
+        self._received_at = exchange.received
+        timeout_s = (
+            route.timeout_s
+            if caller_metadata.wait_s is None
+            else min(caller_metadata.wait_s, route.timeout_s)
+        )
+        elapsed_s = (
+            0.0
+            if caller_metadata.wait_s is None
+            else self._stats.elapsed_before(caller_metadata.wait_s)
+        )
+        self._expires_at = self._received_at + timeout_s
+        self._objective_at = self._received_at + route.objective_s - elapsed_s
         self._late_policy = LatePolicy.QUEUE
         self._headers = strip_hop_by_hop(exchange.request.headers)
-        self._tried = set()
-        self._probed = set()
-        self._rounds = 0
-        self._reached = 0
-        self._offers = 0
-        self._late_offers = 0
-        self._running = {}
-        self._shortest_wait = None
-        self._maybe_ran = False
-        self._failure = None
-        self._finished = False
+        self._offered_addresses = set()
+        self._probed_addresses = set()
+        self._probe_rounds = 0
+        # How many targets have been handed the request.
+        self._attempts = 0
+        self._offer_count = 0
+        self._late_offer_count = 0
+        # The function that cancels each offer without a response yet.
+        self._pending_offers = {}
+        self._shortest_wait_s = None
+        self._may_have_run = False
+        self._failed_response = None
+        self._is_finished = False
         self._hedge_timers = []
-        self._timer = None
+        self._expiry_timer = None
 
     def start(self):
         """Offer the request to the best target.
@@ -57,65 +73,67 @@
         :return: None.
         """
         now = self._loop.now()
-        if self._expires_at <= now + _LEAST_SECONDS:
-            self._refuse(Code.DEADLINE_UNREACHABLE, "its time has passed")
+        if self._expires_at <= now + _MIN_REMAINING_SECONDS:
+            self._refuse(Code.DEADLINE_UNREACHABLE, "the request's deadline has passed")
             return
         guard = self._exchange.guard
         self._exchange.when_hung_up(self._on_hang_up)
-        self._timer = self._loop.call_later(self._expires_at - now, guard(self._on_expiry))
-        self._router.note_request(self._service)
+        self._expiry_timer = self._loop.call_later(self._expires_at - now, guard(self._on_expiry))
+        self._router.record_request(self._service)
         self._offer_next()
 
     def _offer_next(self):
-        candidates = self._rank(self._loop.now())
-        untried = [one for one in candidates if one.address not in self._tried]
+        candidates = self._rank_targets(self._loop.now())
+        untried = [one for one in candidates if one.address not in self._offered_addresses]
         if not candidates:
-            self._refuse(Code.NO_TARGET, self._missing_target_reason())
+            self._refuse(Code.NO_TARGET, self._no_target_reason())
         elif not self._probe(untried):
-            self._offer_best(candidates, put_unanswered_last(untried, self._probed))
+            self._offer_best(candidates, put_unanswered_last(untried, self._probed_addresses))
 
-    def _missing_target_reason(self):
+    def _no_target_reason(self):
         evacuated = self._router.list_evacuated()
         if evacuated:
-            return f"no target outside the evacuated {', '.join(evacuated)} takes work"
-        return "no target of the service takes work"
+            return f"no target outside the evacuated {', '.join(evacuated)} accepts requests"
+        return "no target of the service accepts requests"
 
     def _probe(self, untried):
-        if self._rounds >= MAX_PROBE_ROUNDS:
+        if self._probe_rounds >= MAX_PROBE_ROUNDS:
             return False
-        sent = self._router.probe(untried, self._probed, self._exchange.guard(self._on_probed))
-        self._rounds += sent
-        return sent
+        is_sent = self._router.probe(
+            untried, self._probed_addresses, self._exchange.guard(self._on_probed)
+        )
+        self._probe_rounds += is_sent
+        return is_sent
 
     def _on_probed(self):
-        if not self._finished:
+        if not self._is_finished:
             self._offer_next()
 
     def _offer_best(self, candidates, untried):
         now = self._loop.now()
-        in_time = [one for one in untried if now + one.expected_s <= self._objective_at]
-        if in_time and self._offers < _MAX_OFFERS:
-            self._offer(in_time[0], LatePolicy.REJECT)
-        elif self._late_offers < self._late_policy and (untried or not self._late_offers):
-            # None will be in time by what is known here; the best one's node knows better, and
-            # has room for some late work.
-            self._late_offers += 1
+        on_time = [one for one in untried if now + one.expected_s <= self._objective_at]
+        if on_time and self._offer_count < _MAX_ON_TIME_OFFERS:
+            self._offer(on_time[0], LatePolicy.REJECT)
+        elif self._late_offer_count < self._late_policy and (untried or not self._late_offer_count):
+            # By the load known here, no target will answer within the objective. The node beside
+            # the best target knows its load better, and queues a limited number of late requests.
+            self._late_offer_count += 1
             self._offer((untried or candidates)[0], self._late_policy)
         else:
-            self._refuse(Code.QUEUE_FULL, "every target is busy beyond the request's time")
+            self._refuse(Code.QUEUE_FULL, "no target can answer within the request's time")
 
-    def _rank(self, now):
+    def _rank_targets(self, now):
         router = self._router
-        views, objective_left = router.views(self._service), self._objective_at - now
-        return rank(views, self._facts.work_s, now, router.domain, objective_left)
+        views, objective_left_s = router.list_targets(self._service), self._objective_at - now
+        return rank(views, self._stats.work_s, now, router.domain, objective_left_s)
 
     def _offer(self, candidate, late_policy):
         now = self._loop.now()
-        self._offers += 1
-        self._tried.add(candidate.address)
+        self._offer_count += 1
+        self._offered_addresses.add(candidate.address)
         offer = _Offer(self, candidate)
-        self._running[offer] = None
-        self._router.note_sent(candidate.address)
+        self._pending_offers[offer] = None
+        self._router.record_sent(candidate.address)
         exchange = self._exchange
         request = exchange.request
         message = RelayMessage(
@@ -126,9 +144,9 @@
             priority=self._route.priority,
             objective_s=self._objective_at - now,
             left_s=self._expires_at - now,
-            work_s=self._facts.work_s,
+            work_s=self._stats.work_s,
             late_policy=int(late_policy),
-            request_id=self._terms.request_id,
+            request_id=self._caller_metadata.request_id,
             caller_service=self._router.service,
             method=request.method,
             path=request.path,
@@ -136,8 +154,8 @@
             body=request.body,
         )
         cancel = self._router.send(candidate.address, message, exchange.guard(offer.on_message))
-        if offer in self._running:
-            self._running[offer] = cancel
+        if offer in self._pending_offers:
+            self._pending_offers[offer] = cancel
             if self._route.idempotent and self._route.attempts > 1:
                 self._schedule_hedges(candidate, now)
 
@@ -145,7 +163,7 @@
         self._cancel_hedges()
         delays = hedge_delays(
             candidate.expected_s,
-            self._facts.work_s,
+            self._stats.work_s,
             self._objective_at - now,
             self._expires_at - now,
         )
@@ -157,95 +175,98 @@
             timer.cancel()
         self._hedge_timers = []
 
-    def on_relayed(self, offer, message):
-        """Take a target's answer.
+    def on_response(self, offer, message):
+        """Handle a target's response.
 
-        :param offer: the offer that it answers.
-        :param message: the :class:`~camphorshelf_core.messages.RelayedMessage`.
+        :param offer: the offer that got the response.
+        :param message: the :class:`~camphorshelf_core.messages.RelayAnswerMessage`.
         :return: None.
         """
-        self._running.pop(offer, None)
-        if self._finished:
+        self._pending_offers.pop(offer, None)
+        if self._is_finished:
             return
-        self._reached += 1
+        self._attempts += 1
         now = self._loop.now()
-        failed = message.status in FAILURE_STATUSES
+        is_failure = message.status in FAILURE_STATUSES
         if message.status < 300:
-            self._facts.note_work(message.ran_s / max(0.1, message.slowness))
-        if failed and self._route.idempotent:
-            # Kept: if no other target can be found, this is the truth, and "not run" is not.
-            self._failure = offer, message
-            if self._running:
+            self._stats.record_work(message.ran_s / max(0.1, message.slowness))
+        if is_failure and self._route.idempotent:
+            # If no other target answers, the caller gets this response. A refusal as not run would
+            # be wrong, for the request has run.
+            self._failed_response = offer, message
+            if self._pending_offers:
                 return
-            if self._may_repeat(now, is_rerun=True):
-                self._offers = self._late_offers = 0
+            if self._may_retry(now, is_rerun=True):
+                self._offer_count = self._late_offer_count = 0
                 self._log_step("repeat", offer, status=message.status)
                 self._offer_next()
                 return
         self._answer(offer, message)
 
-    def on_declined(self, offer, message):
-        """Take the word that an offer got no answer.
+    def on_refusal(self, offer, message):
+        """Handle the refusal of an offer, by the target's node or by the link to it.
 
-        :param offer: the offer.
-        :param message: the :class:`~camphorshelf_core.messages.DeclinedMessage` or
-            :class:`~camphorshelf_core.errors.Refusal` of the link.
+        :param offer: the refused offer.
+        :param message: the :class:`~camphorshelf_core.messages.RelayRefusedMessage` of the node, or
+            the :class:`~camphorshelf_core.errors.Refusal` with which the link reports its loss.
         :return: None.
         """
-        self._running.pop(offer, None)
-        if self._finished:
+        self._pending_offers.pop(offer, None)
+        if self._is_finished:
             return
         now = self._loop.now()
-        not_run = _ran(message) is Ran.NOT_RUN
-        reached = getattr(message, "reached", not not_run)
-        self._reached += reached
-        if not not_run:
-            self._maybe_ran = True
+        is_not_run = _get_ran(message) is Ran.NOT_RUN
+        reached = getattr(message, "reached", not is_not_run)
+        self._attempts += reached
+        if not is_not_run:
+            self._may_have_run = True
         wait_s = getattr(message, "wait_s", 0.0)
         if message.code == Code.TARGET_BUSY:
-            known = self._shortest_wait
-            self._shortest_wait = wait_s if known is None else min(known, wait_s)
+            shortest_s = self._shortest_wait_s
+            self._shortest_wait_s = wait_s if shortest_s is None else min(shortest_s, wait_s)
         self._log_step("declined", offer, code=Code(message.code).name, wait_s=round(wait_s, 4))
-        if now - self._arrived > _HELD_SHARE * self._route.objective_s:
-            # It has waited in a queue that became too long. A refusal now would come too late for
-            # its caller to do better elsewhere, so it is treated like a retry.
+        if now - self._received_at > _MAX_HELD_SHARE * self._route.objective_s:
+            # The request was held in a queue that has grown too long. A refusal now would leave its
+            # caller too little time for a retry, so the next node queues it even if it is late.
             self._late_policy = LatePolicy.QUEUE_HELD
-        if self._running:
+        if self._pending_offers:
             return
         is_final = message.code == Code.QUARANTINED
-        if is_final or (not not_run and not self._route.idempotent):
-            self._give_up(message)
+        if is_final or (not is_not_run and not self._route.idempotent):
+            self._pass_on_refusal(message)
         elif not reached:
             self._offer_next()
-        elif self._may_repeat(now, is_rerun=not not_run):
-            self._late_offers = 0
+        elif self._may_retry(now, is_rerun=not is_not_run):
+            self._late_offer_count = 0
             self._offer_next()
         else:
-            self._give_up(message)
+            self._pass_on_refusal(message)
 
-    def _may_repeat(self, now, is_rerun):
-        if self._reached >= self._route.attempts:
+    def _may_retry(self, now, is_rerun):
+        if self._attempts >= self._route.attempts:
             return False
-        if now + self._facts.work_s > self._expires_at:
+        if now + self._stats.work_s > self._expires_at:
             return False
         return self._router.spend_retry(self._service, is_rerun)
 
     def _hedge(self):
-        if self._finished or len(self._running) != 1:
+        if self._is_finished or len(self._pending_offers) != 1:
             return
-        if self._reached + 1 >= self._route.attempts:
+        if self._attempts + 1 >= self._route.attempts:
             return
         now = self._loop.now()
-        due = self._objective_at if now < self._objective_at else self._expires_at
-        free = [
+        due_at = self._objective_at if now < self._objective_at else self._expires_at
+        idle = [
             one
-            for one in self._rank(now)
-            if one.address not in self._tried and one.wait_s == 0.0 and now + one.expected_s <= due
+            for one in self._rank_targets(now)
+            if one.address not in self._offered_addresses
+            and one.wait_s == 0.0
+            and now + one.expected_s <= due_at
         ]
-        if free and self._router.spend_retry(self._service, is_rerun=True):
-            (first,) = self._running
-            self._log_step("hedge", first, to=free[0].address)
-            self._offer(free[0], LatePolicy.REJECT)
+        if idle and self._router.spend_retry(self._service, is_rerun=True):
+            (pending,) = self._pending_offers
+            self._log_step("hedge", pending, to=idle[0].address)
+            self._offer(idle[0], LatePolicy.REJECT)
 
     def _answer(self, offer, message):
         self._end()
@@ -260,78 +281,82 @@
             waited_ms=round(message.waited_s * 1000, 1),
             ran_ms=round(message.ran_s * 1000, 1),
             slowness=message.slowness,
-            offers=len(self._tried),
+            offers=len(self._offered_addresses),
             bytes=len(message.body),
         )
         self._exchange.answer(Response(message.status, message.headers, message.body))
 
-    def _give_up(self, message):
-        ran = Ran.OUTCOME_UNKNOWN if self._maybe_ran else Ran.NOT_RUN
-        self._finish(Refusal(Code(message.code), message.reason, ran))
+    def _pass_on_refusal(self, message):
+        ran = Ran.OUTCOME_UNKNOWN if self._may_have_run else Ran.NOT_RUN
+        self._finish_without_success(Refusal(Code(message.code), message.reason, ran))
 
     def _refuse(self, code, reason):
-        if self._maybe_ran:
-            self._finish(Refusal(Code.TARGET_LOST, reason, Ran.OUTCOME_UNKNOWN))
+        if self._may_have_run:
+            self._finish_without_success(Refusal(Code.TARGET_LOST, reason, Ran.OUTCOME_UNKNOWN))
             return
-        self._finish(Refusal(code, reason))
+        self._finish_without_success(Refusal(code, reason))
 
-    def _finish(self, refusal):
-        if self._failure is not None:
-            self._answer(*self._failure)
+    def _finish_without_success(self, refusal):
+        if self._failed_response is not None:
+            self._answer(*self._failed_response)
             return
-        # Who had it when it was given up: that node's log tells the rest.
-        under_way = [offer.address for offer in self._running]
+        # Logged so that the logs of these nodes can be searched for what became of the request.
+        pending_addresses = [offer.address for offer in self._pending_offers]
         self._end()
         now = self._loop.now()
         if refusal.ran is Ran.NOT_RUN:
-            seconds = self._retry_after(refusal, now)
+            seconds = self._retry_after_s(refusal, now)
             refusal = refusal._replace(retry_after_ms=max(1, round(seconds * 1000)))
         self._router.refuse(
             self._exchange,
-            self._terms.request_id,
+            self._caller_metadata.request_id,
             refusal,
             self._route,
             service=self._service,
-            offers=len(self._tried),
-            held_ms=round((now - self._arrived) * 1000, 1),
-            under_way=under_way,
+            offers=len(self._offered_addresses),
+            held_ms=round((now - self._received_at) * 1000, 1),
+            under_way=pending_addresses,
         )
 
-    def _retry_after(self, refusal, now):
+    def _retry_after_s(self, refusal, now):
         random = self._router.random
         if refusal.code is Code.TARGET_SHED:
             return retry_after_shed(random)
         return retry_after(
-            self._shortest_wait, self._objective_at - now, self._facts.work_s, random
+            self._shortest_wait_s, self._objective_at - now, self._stats.work_s, random
         )
 
     def _on_expiry(self):
-        self._timer = None
-        self._maybe_ran = self._maybe_ran or bool(self._running)
-        if self._maybe_ran:
-            reason = "no answer within the route's or the caller's time"
-            self._finish(Refusal(Code.DEADLINE_EXCEEDED, reason, Ran.OUTCOME_UNKNOWN))
+        self._expiry_timer = None
+        self._may_have_run = self._may_have_run or bool(self._pending_offers)
+        if self._may_have_run:
+            reason = "no response within the timeout of the route or of the caller"
+            self._finish_without_success(
+                Refusal(Code.DEADLINE_EXCEEDED, reason, Ran.OUTCOME_UNKNOWN)
+            )
         else:
-            self._finish(Refusal(Code.DEADLINE_UNREACHABLE, "its time has passed"))
+            self._finish_without_success(
+                Refusal(Code.DEADLINE_UNREACHABLE, "the request's deadline has passed")
+            )
 
     def _on_hang_up(self):
         self._end()
         self._router.log_outcome(self._exchange, self._route, "caller_left")
 
     def _end(self):
-        self._finished = True
+        self._is_finished = True
         self._cancel_hedges()
-        if self._timer is not None:
-            self._timer.cancel()
-        running, self._running = self._running, {}
-        for cancel in running.values():
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+        pending_offers, self._pending_offers = self._pending_offers, {}
+        for cancel in pending_offers.values():
             if cancel is not None:
                 cancel()
 
     def _log_step(self, event, offer, **fields):
         self._router.log.routine(
             event,
-            request=self._terms.request_id,
+            request=self._caller_metadata.request_id,
             route=self._route.name,
             target=offer.address,
             expected_ms=round(offer.expected_s * 1000, 1),
@@ -340,7 +365,7 @@
 
 
 class _Offer:
-    """One send of a request to one target's node."""
+    """One transmission of a request to the node beside one target."""
 
     def __init__(self, relay, candidate):
         self._relay = relay
@@ -349,12 +374,12 @@
 
     def on_message(self, message):
         if isinstance(message, RelayedMessage):
-            self._relay.on_relayed(self, message)
+            self._relay.on_response(self, message)
         elif isinstance(message, DeclinedMessage | Refusal):
-            self._relay.on_declined(self, message)
+            self._relay.on_refusal(self, message)
         else:
-            raise TypeError(f"not an answer to a request: {type(message).__name__}")
+            raise TypeError(f"unexpected response to a request: {type(message).__name__}")
 
 
-def _ran(message):
+def _get_ran(message):
     return message.ran if isinstance(message.ran, Ran) else Ran(message.ran)
--- a/packages/relay/src/camphorshelf_relay/router.py
+++ b/packages/relay/src/camphorshelf_relay/router.py
@@ -1,4 +1,4 @@
-"""The entry side of a node: finds a request's route and hands it to a :class:`Relay`."""
+"""The entry side of a node: finds the route of a caller's request and starts its :class:`Relay`."""
 
 from camphorshelf_core.calls import Response, header
 from camphorshelf_core.errors import Code, Refusal
@@ -7,41 +7,68 @@
 from camphorshelf_core.routes import PartPicker
 
 from .relay import Relay
-from .routebook import RouteBook
+from .routestats import RouteStatsTable
 
-_STARTING_RETRY_MS = 200
+_STARTING_RETRY_AFTER_MS = 200
 
 
 class Router:
-    """What all requests of callers at this node share."""
+    """Routes callers' requests, and holds what all requests at this entry node share.
+
+    :param loop: the node's loop.
+    :param settings: the :class:`~camphorshelf_relay.settings.NodeSettings`.
+    :param header_codec: the :class:`~camphorshelf_relay.settings.HeaderCodec`.
+    :param config: the :class:`~camphorshelf_relay.configsync.ConfigSynchronizer`.
+    :param peers: the :class:`~camphorshelf_relay.peers.Peers`.
+    :param admission_controller: the
+        :class:`~camphorshelf_relay.admissioncontroller.AdmissionController` of this host's target.
+    :param own_view: returns this host's :class:`~camphorshelf_core.hosts.HostView`.
+    :param random: the source of random numbers.
+    :param log: the :class:`~camphorshelf_relay.eventlog.EventLog`.
+    """
 
-    def __init__(self, loop, settings, dialect, config, peers, gate, own_view, random, log):
+    def __init__(
+        self,
+        loop,
+        settings,
+        header_codec,
+        config,
+        peers,
+        admission_controller,
+        own_view,
+        random,
+        log,
+    ):
         self.loop = loop
         self.random = random
         self.log = log
         self.domain = settings.domain
         self.service = settings.service
-        self.book = RouteBook()
+        self.route_stats = RouteStatsTable()
         self._settings = settings
-        self._dialect = dialect
+        self._header_codec = header_codec
         self._config = config
         self._peers = peers
-        self._gate = gate
+        self._admission_controller = admission_controller
         self._own_view = own_view
         self._own_address = settings.addresses.links.text
-        self._picker = PartPicker(random)
-        self._budgets = {}
-        self.retries = {}
+        self._service_picker = PartPicker(random)
+        self._retry_budgets = {}
+        # Counts of granted and denied retries, by service and verdict.
+        self.retry_counts = {}
+        # Called with the route's name, the outcome and the seconds of each finished request.
         self.on_outcome = lambda route, outcome, seconds: None
         config.on_change(self._on_config)
 
     def probe(self, candidates, probed, on_done):
-        """Ask some hosts for their status of this moment, if that is needed for a choice.
-
-        :param candidates: the request's candidates, the best first.
-        :param probed: addresses that were probed for this request; takes in the new ones.
-        :param on_done: called when they have answered or had the time to.
-        :return: whether any is probed; otherwise ``on_done`` is not called.
+        """Probe the load of some candidates, if that is needed to choose a target.
+
+        :param candidates: the request's :class:`~camphorshelf_core.placement.Candidate` list, best
+            first.
+        :param probed: the addresses probed for this request so far; the new ones are added.
+        :param on_done: called without arguments when enough hosts have answered or the probes have
+            timed out.
+        :return: whether any host is probed; if not, ``on_done`` is not called.
         """
         addresses = choose_probes(candidates, probed, self.random)
         if not addresses:
@@ -52,43 +79,43 @@
         )
         return True
 
-    def take_settings(self, settings):
-        """Take changed bounds; budgets start anew by them.
+    def apply_settings(self, settings):
+        """Apply reloaded settings; changed retry limits start with new retry budgets.
 
         :param settings: the :class:`~camphorshelf_relay.settings.NodeSettings`.
         :return: None.
         """
         if settings.retry != self._settings.retry:
-            self._budgets = {}
+            self._retry_budgets = {}
         self._settings = settings
 
     def handle(self, exchange):
-        """Take a caller's request.
+        """Handle a caller's request.
 
         :param exchange: the :class:`~camphorshelf_node.exchange.Exchange`.
         :return: None.
         """
-        terms = self._dialect.read_caller(exchange.request.headers)
+        caller_metadata = self._header_codec.read_caller(exchange.request.headers)
         if self._config.config is None:
             refusal = Refusal(
                 Code.NODE_STARTING,
                 "the node has no configuration yet",
-                retry_after_ms=_STARTING_RETRY_MS,
+                retry_after_ms=_STARTING_RETRY_AFTER_MS,
             )
-            self.refuse(exchange, terms.request_id, refusal, None)
+            self.refuse(exchange, caller_metadata.request_id, refusal, None)
             return
         route = self._find_route(exchange.request)
         if route is None:
             refusal = Refusal(Code.UNKNOWN_ROUTE, "no route matches the request")
-            self.refuse(exchange, terms.request_id, refusal, None)
+            self.refuse(exchange, caller_metadata.request_id, refusal, None)
             return
-        Relay(self, exchange, route, terms).start()
+        Relay(self, exchange, route, caller_metadata).start()
 
     def may_overlap(self, request):
-        """Tell whether a request may be under way together with others of its connection.
+        """Tell whether a request may run concurrently with others of the same connection.
 
-        Load pattern: callers that pipeline several lookups on one connection. Begun only after the
-        answer before it, each would wait for all before it though targets have free slots.
+        Callers may pipeline several lookups on one connection. If each started only after the
+        previous answer, it would wait for all earlier ones although targets have free slots.
 
         :param request: the :class:`~camphorshelf_core.calls.Request`.
         :return: True or False.
@@ -96,16 +123,18 @@
         route = self._find_route(request) if self._config.config is not None else None
         return route is not None and route.idempotent
 
-    def pick_part(self, route):
+    def pick_service(self, route):
         """Choose the service for a request.
 
-        :param route: its :class:`~camphorshelf_core.routes.Route`.
+        :param route: the request's :class:`~camphorshelf_core.routes.Route`.
         :return: the service's name.
         """
-        return self._picker.pick(route)
+        return self._service_picker.pick(route)
+
+    def list_targets(self, service):
+        """List the hosts with a usable target of a service; a sample if there are many.
 
-    def views(self, service):
-        """List hosts whose target runs a service and takes work; a sample where there are many.
+        Hosts in evacuated failure domains are left out.
 
         :param service: the service's name.
         :return: a list of :class:`~camphorshelf_core.hosts.HostView`.
@@ -113,60 +142,61 @@
         now = self.loop.now()
         views = self._peers.directory.targets(service, self.domain, now, self.random)
         if self._settings.service == service:
-            own = self._own_view()
-            if own.is_usable(now):
-                views.append(own)
-        evacuated = self._config.evacuations.held.domains
+            own_view = self._own_view()
+            if own_view.is_usable(now):
+                views.append(own_view)
+        evacuated = self._config.evacuations.current.domains
         if not evacuated:
             return views
         return [view for view in views if view.status.domain not in evacuated]
 
     def list_evacuated(self):
-        """List the failure domains that are evacuated.
+        """List the evacuated failure domains.
 
-        :return: their names.
+        :return: the domains' names, sorted.
         """
-        return sorted(self._config.evacuations.held.domains)
+        return sorted(self._config.evacuations.current.domains)
 
     def send(self, address, message, on_done):
-        """Send a request to a target's node.
+        """Send a request to the node beside a target.
 
-        :param address: the node's address for links.
+        :param address: the node's link address.
         :param message: the :class:`~camphorshelf_core.messages.RelayMessage`.
-        :param on_done: takes the answering message or a refusal of the link.
-        :return: a function that cancels it.
+        :param on_done: takes the node's response message, or the
+            :class:`~camphorshelf_core.errors.Refusal` with which the link reports its loss.
+        :return: a function that cancels the request.
         """
         if address == self._own_address:
-            return self._gate.run(message, on_done)
+            return self._admission_controller.run(message, on_done)
         return self._peers.link(address).call(message, on_done)
 
-    def note_request(self, service):
-        """Count a caller's request to a service.
+    def record_request(self, service):
+        """Count a caller's request, which raises the service's retry budget.
 
         :param service: the service's name.
         :return: None.
         """
-        self._budget(service).note_request(self.loop.now())
+        self._retry_budget(service).note_request(self.loop.now())
 
     def spend_retry(self, service, is_rerun):
-        """Take one from the budget of retries.
+        """Spend one retry of a service's retry budget.
 
         :param service: the service's name.
         :param is_rerun: whether the request may have run before.
-        :return: whether there was one.
+        :return: whether the budget allowed the retry.
         """
-        budget = self._budget(service)
+        budget = self._retry_budget(service)
         now = self.loop.now()
         budget.share_among(len(self._peers.directory.live(now)) + 1)
         granted = budget.spend(now, is_rerun)
         key = service, "granted" if granted else "denied"
-        self.retries[key] = self.retries.get(key, 0) + 1
+        self.retry_counts[key] = self.retry_counts.get(key, 0) + 1
         return granted
 
-    def note_sent(self, address):
-        """Count a request that the target's next status may not yet count.
+    def record_sent(self, address):
+        """Count a request that the target's last known status cannot include.
 
-        :param address: the target's node.
+        :param address: the link address of the target's node.
         :return: None.
         """
         view = self._peers.directory.view(address)
@@ -174,13 +204,13 @@
             view.unseen += 1
 
     def refuse(self, exchange, request_id, refusal, route, **fields):
-        """Give a caller the final refusal of its request.
+        """Answer a caller's request with a refusal, and log it.
 
-        :param exchange: the request.
-        :param request_id: the caller's id of it.
+        :param exchange: the request's :class:`~camphorshelf_node.exchange.Exchange`.
+        :param request_id: the caller's id of the request.
         :param refusal: the :class:`~camphorshelf_core.errors.Refusal`.
-        :param route: its route, or None.
-        :param fields: what decided it, for the log.
+        :param route: the request's route, or None.
+        :param fields: further fields of the log line.
         :return: None.
         """
         self.log_outcome(
@@ -193,28 +223,28 @@
             retry_after_ms=refusal.retry_after_ms,
             **fields,
         )
-        status, headers = self._dialect.write_refusal(refusal, request_id)
+        status, headers = self._header_codec.write_refusal(refusal, request_id)
         body = f"{refusal.code.value} {refusal.code.name}: {refusal.reason}\n".encode()
         exchange.answer(Response(status, headers, body))
 
     def log_outcome(self, exchange, route, outcome, **fields):
-        """Log and count what became of a request.
+        """Log and count the outcome of a request.
 
-        :param exchange: the request.
-        :param route: its route, or None.
+        :param exchange: the request's :class:`~camphorshelf_node.exchange.Exchange`.
+        :param route: the request's route, or None.
         :param outcome: ``answered``, ``refused`` or ``caller_left``.
-        :param fields: what decided it.
+        :param fields: further fields of the log line; ``answered`` needs ``status``.
         :return: None.
         """
         seconds = self.loop.now() - exchange.received
         name = "" if route is None else route.name
-        word = fields.get("code") or (str(fields["status"]) if "status" in fields else outcome)
-        self.on_outcome(name, word, seconds)
-        went_well = outcome == "answered" and fields["status"] < 500
-        note = self.log.routine if went_well else self.log.notable
-        note(
+        label = fields.get("code") or (str(fields["status"]) if "status" in fields else outcome)
+        self.on_outcome(name, label, seconds)
+        is_success = outcome == "answered" and fields["status"] < 500
+        log = self.log.routine if is_success else self.log.notable
+        log(
             outcome,
-            request=self._dialect.read_caller(exchange.request.headers).request_id,
+            request=self._header_codec.read_caller(exchange.request.headers).request_id,
             route=name,
             ms=round(seconds * 1000, 1),
             objective_ms=0 if route is None else round(route.objective_s * 1000),
@@ -224,31 +254,31 @@
 
     def _find_route(self, request):
         host, path = find_host_and_path(request)
-        return self._config.table.find(host, path)
+        return self._config.route_table.find(host, path)
 
-    def _budget(self, service):
-        budget = self._budgets.get(service)
+    def _retry_budget(self, service):
+        budget = self._retry_budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = RetryBudget(
+            budget = self._retry_budgets[service] = RetryBudget(
                 self._settings.retry, self.random, self.loop.now()
             )
         return budget
 
     def _on_config(self, config):
-        self._picker.keep(config.routes)
-        self.book.keep(config.routes)
+        self._service_picker.keep(config.routes)
+        self.route_stats.retain(config.routes)
 
 
 def find_host_and_path(request):
-    """Find what a request's route is chosen by.
+    """Find the host and the path by which a request's route is chosen.
 
     :param request: the :class:`~camphorshelf_core.calls.Request`.
-    :return: the host in lower case without a port, and the path without a query.
+    :return: the host in lower case without a port, and the path without query and fragment.
     """
     host = (header(request.headers, b"host") or b"").decode("latin-1").strip().lower()
     path = request.path.decode("latin-1")
     if not path.startswith("/") and "://" in path:
-        # The connection has checked that both name the same host.
+        # An absolute URI; the connection has checked that its host equals the Host header.
         path = "/" + path.partition("://")[2].partition("/")[2]
     return _strip_port(host), path.partition("?")[0].partition("#")[0]
 
--- a/packages/relay/src/camphorshelf_relay/storeport.py
+++ b/packages/relay/src/camphorshelf_relay/storeport.py
@@ -1,29 +1,30 @@
-"""What the nodes ask of the platform's store, and how it can fail; the adapter carries it out."""
+"""The interface between nodes and the platform's store, which the platform adapter implements."""
 
 from enum import Enum
 from typing import NamedTuple
 
-_FIRST_WAIT_SECONDS = 0.1
-MAX_WAIT_SECONDS = 1.0
-_MOST_DOUBLINGS = 10
+_INITIAL_RETRY_DELAY_SECONDS = 0.1
+MAX_RETRY_DELAY_SECONDS = 1.0
+_MAX_DOUBLINGS = 10
 
 
-def wait_after(failures, random, longest_s=MAX_WAIT_SECONDS):
-    """Tell how long to wait before the store is asked again.
+def retry_delay(failures, random, max_delay_s=MAX_RETRY_DELAY_SECONDS):
+    """Compute the delay before the next call to the store.
 
-    Doubled up to the longest, and drawn below that, so that nodes do not retry together.
+    The delay doubles with each failure up to a maximum. Jitter shortens it by up to half, so that
+    nodes do not retry at the same moment.
 
     :param failures: how many calls have failed in a row.
     :param random: the source of random numbers.
-    :param longest_s: the longest wait.
-    :return: seconds.
+    :param max_delay_s: the longest delay in seconds.
+    :return: the delay in seconds.
     """
-    longest = min(longest_s, _FIRST_WAIT_SECONDS * 2 ** min(failures, _MOST_DOUBLINGS))
-    return random.uniform(longest / 2, longest)
+    delay_s = min(max_delay_s, _INITIAL_RETRY_DELAY_SECONDS * 2 ** min(failures, _MAX_DOUBLINGS))
+    return random.uniform(delay_s / 2, delay_s)
 
 
-class Trouble(Enum):
-    """Why the store gave no result."""
+class FailureKind(Enum):
+    """Why a call to the store returned no result."""
 
     UNREACHABLE = "unreachable"
     NO_ANSWER = "no answer"
@@ -33,22 +34,22 @@
 
 
 class StoreFailure(NamedTuple):
-    """A call without a result.
+    """The outcome of a call to the store that returned no result.
 
-    :param trouble: the :class:`Trouble`.
-    :param reason: one sentence.
+    :param kind: the :class:`FailureKind`.
+    :param reason: one sentence for the log.
     """
 
-    trouble: Trouble
+    kind: FailureKind
     reason: str
 
 
 class StoredRow(NamedTuple):
-    """A row.
+    """A row of a table in the store.
 
-    :param key: its key.
-    :param value: its bytes.
-    :param version: the store's version at its last change.
+    :param key: the row's key.
+    :param value: the row's value, as bytes.
+    :param version: the store's version at which the row was last changed.
     """
 
     key: str
@@ -57,13 +58,13 @@
 
 
 class StoreRows(NamedTuple):
-    """Rows as of one moment.
+    """The rows that a call to the store returned, as of one version of the store.
 
     :param rows: a tuple of :class:`StoredRow`.
-    :param is_whole: whether these are all rows that were asked for.
-    :param version: the store's version of that moment.
+    :param is_complete: whether these are all requested rows.
+    :param version: the store's version when the rows were read.
     """
 
     rows: tuple
-    is_whole: bool = True
+    is_complete: bool = True
     version: int = 0
--- a/tests/features/steps/config_reads_steps.py
+++ b/tests/features/steps/config_reads_steps.py
@@ -10,9 +10,9 @@
 from camphorshelf_core.messages import ConfigRequestMessage
 from camphorshelf_core.routes import RoutingConfig
 from camphorshelf_core.storepollers import POLLERS, is_poller
-from camphorshelf_relay.announcer import Reach
-from camphorshelf_relay.configkeeper import ConfigKeeper
-from camphorshelf_relay.storeport import StoredRow, StoreFailure, StoreRows, Trouble
+from camphorshelf_relay.announcer import AnnouncementScope
+from camphorshelf_relay.configsync import ConfigSynchronizer
+from camphorshelf_relay.storeport import StoredRow, StoreFailure, StoreRows, FailureKind
 from standins.fakes import FakeLoop
 from standins.hosts import make_status
 from standins.relayparts import READERS
@@ -52,7 +52,7 @@
         """Count what is fetched from a host; it never answers."""
         return SimpleNamespace(call=lambda message, on_done: self.fetched.append(address))
 
-    def tell(self):
+    def announce_changes(self):
         self.told_at.append(True)
 
 
@@ -73,7 +73,7 @@
         store = _SilentStore(loop)
         chance = random.Random(seed)
         context.peers = _Peers()
-        keeper = ConfigKeeper(loop, _Settings(), store, context.peers, READERS, chance, _Log())
+        keeper = ConfigSynchronizer(loop, _Settings(), store, context.peers, READERS, chance, _Log())
         keeper.start("op", "config")
         context.keeper = keeper
         context.loops.append(loop)
@@ -104,7 +104,7 @@
     assert not context.keeper.lacks_store_access
     context.stores[0].answers = False
     context.loops[0].advance(1.05)
-    context.stores[0].waiting(StoreFailure(Trouble.UNAVAILABLE, "refused"))
+    context.stores[0].waiting(StoreFailure(FailureKind.UNAVAILABLE, "refused"))
 
 
 @when("the store says nothing to its next read for {seconds:f} s")
@@ -127,7 +127,7 @@
     loop = FakeLoop()
     store, peers = _SilentStore(loop), _Peers()
     store.answers = False
-    keeper = ConfigKeeper(loop, _Settings(), store, peers, None, random.Random(1), _Log())
+    keeper = ConfigSynchronizer(loop, _Settings(), store, peers, None, random.Random(1), _Log())
     for number in range(count):
         peers.directory.take(make_status(f"h{number}", lacks_store_access=True), 1_000.0)
     keeper.config = RoutingConfig(1, (), {}, None)
@@ -143,7 +143,7 @@
             view.heard_at = context.loop.now()
         on_done, context.store.waiting = context.store.waiting, None
         if on_done is not None:
-            on_done(StoreFailure(Trouble.UNAVAILABLE, "refused"))
+            on_done(StoreFailure(FailureKind.UNAVAILABLE, "refused"))
 
 
 @then("the node has read at most {count:d} times, and at least {least:d} times")
@@ -156,7 +156,7 @@
     log = _Log()
     chance = random.Random(1)
     store = _SilentStore(loop)
-    keeper = ConfigKeeper(loop, _Settings(), store, _Peers(), READERS, chance, log)
+    keeper = ConfigSynchronizer(loop, _Settings(), store, _Peers(), READERS, chance, log)
     return keeper, log
 
 
@@ -173,7 +173,7 @@
     directory = context.keeper._peers.directory
     status = make_status("h1", domain=_DOMAINS[domain], config_version=8, repeat_s=0.0)
     directory.take(status, context.keeper._loop.now())
-    context.keeper.hear(directory.view("h1"), forwarding == "it hands on itself")
+    context.keeper.on_peer_status(directory.view("h1"), forwarding == "it hands on itself")
 
 
 @then("it has fetched {count:d} times at once and {later:d} times after {seconds:g} s")
@@ -194,7 +194,7 @@
     context.routes = count
     context.keeper, _ = _make_keeper()
     context.keeper.table_name, context.keeper.row_key = "op", "config"
-    context.keeper._take_rows((StoredRow("config", context.document),))
+    context.keeper._apply_rows((StoredRow("config", context.document),))
     assert context.keeper.version == 7
 
 
@@ -208,14 +208,14 @@
 def ask_peer(context):
     context.answer = _ask(context)
     context.other, context.log = _make_keeper()
-    context.other._on_reply(context.answer, Reach.NOBODY)
+    context.other._on_reply(context.answer, AnnouncementScope.NOBODY)
 
 
 @when("another node is sent all but the last {count:d} bytes of its answer")
 def cut_answer(context, count):
     answer = _ask(context)
     context.other, context.log = _make_keeper()
-    context.other._on_reply(answer._replace(packed=answer.packed[:-count]), Reach.NOBODY)
+    context.other._on_reply(answer._replace(packed=answer.packed[:-count]), AnnouncementScope.NOBODY)
 
 
 @then("the answer has less than a fifth of the document's bytes")
@@ -246,7 +246,7 @@
         store.answers = False
         settings = SimpleNamespace(name=name, domain="d0")
         chance = random.Random(number)
-        keeper = ConfigKeeper(loop, settings, store, peers, READERS, chance, _Log())
+        keeper = ConfigSynchronizer(loop, settings, store, peers, READERS, chance, _Log())
         keeper.config = RoutingConfig(1, (), {}, None)
         for other in names:
             if other != name:
@@ -276,7 +276,7 @@
             loop.advance(0.01)
             on_done, store.waiting = store.waiting, None
             if on_done is not None:
-                on_done(StoreFailure(Trouble.UNAVAILABLE, "refused"))
+                on_done(StoreFailure(FailureKind.UNAVAILABLE, "refused"))
 
 
 @then("they have read at most {most:d} times and at least once")
--- a/tests/features/steps/evacuation_steps.py
+++ b/tests/features/steps/evacuation_steps.py
@@ -23,7 +23,7 @@
 from camphorshelf_core.routes import ServiceTerms
 from camphorshelf_platform.headers import DIALECT
 from camphorshelf_relay import targetlink
-from camphorshelf_relay.configkeeper import ConfigKeeper
+from camphorshelf_relay.configsync import ConfigSynchronizer
 from camphorshelf_relay.crashes import CrashWatch
 from camphorshelf_relay.gate import Gate
 from camphorshelf_relay.router import Router
@@ -52,12 +52,12 @@
     def link(self, address):
         return SimpleNamespace(call=lambda message, on_done: self.calls.append((message, on_done)))
 
-    def tell(self):
+    def announce_changes(self):
         """Nobody is there."""
 
 
 def _make_keeper():
-    keeper = ConfigKeeper(FakeLoop(), SETTINGS, None, _Peers(), READERS, random.Random(1), _Log())
+    keeper = ConfigSynchronizer(FakeLoop(), SETTINGS, None, _Peers(), READERS, random.Random(1), _Log())
     keeper.table_name, keeper.row_key = "op", "config"
     return keeper
 
@@ -68,7 +68,7 @@
 
 
 def _known(keeper):
-    return sorted(keeper.evacuations.held.domains)
+    return sorted(keeper.evacuations.current.domains)
 
 
 @given('a node in failure domain "{domain}"')
@@ -115,7 +115,7 @@
 
 @then("it tells others of version {version:d}")
 def check_told(context, version):
-    assert context.keeper.evacuations.held.changed_at == version
+    assert context.keeper.evacuations.current.changed_at == version
 
 
 @given(
@@ -147,10 +147,10 @@
 @when("the node hears the other one's status")
 def hear_other(context):
     keeper, other = context.keeper, context.other
-    version = other.evacuations.held.changed_at
+    version = other.evacuations.current.changed_at
     status = make_status("h2", config_version=0, evacuation_version=version)
     keeper._peers.directory.take(status, keeper._loop.now())
-    keeper.hear(keeper._peers.directory.view("h2"))
+    keeper.on_peer_status(keeper._peers.directory.view("h2"))
 
 
 @then("it fetches what the other one knows")
@@ -171,7 +171,7 @@
     other = _make_keeper()
     _show(other, 10, [domain])
     document = make_document(7, {"/a/": {"service": "counter", "timeout_s": 1.0}})
-    other._take_rows((StoredRow("config", _dump(document)),))
+    other._apply_rows((StoredRow("config", _dump(document)),))
     keeper, context.known = context.keeper, []
     keeper.on_change(lambda config: context.known.append(_known(keeper)))
     answers = []
@@ -363,7 +363,7 @@
     context.router = Router(
         loop, settings, DIALECT, context.keeper, peers, None, None, random.Random(1), _Log()
     )
-    assert len(context.router.views("counter")) == 6
+    assert len(context.router.list_targets("counter")) == 6
 
 
 @when('the entry node knows that "{first}" and "{second}" are evacuated')
@@ -378,13 +378,13 @@
 
 @then('it chooses among the targets in "{domain}" only')
 def check_views(context, domain):
-    domains = [view.status.domain for view in context.router.views("counter")]
+    domains = [view.status.domain for view in context.router.list_targets("counter")]
     assert domains == [domain] * 3, domains
 
 
 @then("it finds no target")
 def check_no_views(context):
-    assert context.router.views("counter") == []
+    assert context.router.list_targets("counter") == []
 
 
 def _answer(stream, name):
--- a/tests/features/steps/failure_detection_steps.py
+++ b/tests/features/steps/failure_detection_steps.py
@@ -199,7 +199,7 @@
 def stop_target(context, seconds):
     context.changed = context.fleet.hosts[0]
     context.changed.status = context.changed.status._replace(accepting=False)
-    context.changed.peers.tell()
+    context.changed.peers.announce_changes()
     _pass_time(context, seconds)
 
 
--- a/tests/features/steps/finding_hosts_steps.py
+++ b/tests/features/steps/finding_hosts_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from camphorshelf_core.directory import HostDirectory
-from camphorshelf_relay.configkeeper import ConfigKeeper
+from camphorshelf_relay.configsync import ConfigSynchronizer
 from camphorshelf_relay.discovery import TABLE, Discovery
 from camphorshelf_relay.settings import Endpoint
 from camphorshelf_relay.storeport import StoredRow, StoreRows
@@ -51,16 +51,16 @@
 
 
 class _Peers:
-    has_roster = False
+    has_all_addresses = False
 
     def __init__(self):
         self.directory = HostDirectory()
         self.learned = set()
 
-    def learn(self, addresses):
+    def add_addresses(self, addresses):
         self.learned.update(addresses)
 
-    def tell(self):
+    def announce_changes(self):
         """Tell nobody."""
 
 
@@ -81,7 +81,7 @@
         )
         self.peers = _Peers()
         chance = random.Random(number)
-        self.config = ConfigKeeper(loop, settings, store, self.peers, READERS, chance, _Log())
+        self.config = ConfigSynchronizer(loop, settings, store, self.peers, READERS, chance, _Log())
         self.discovery = Discovery(loop, settings, store, self.peers, chance, _Log())
 
     def start(self):
@@ -158,7 +158,7 @@
     context.hosts = []
     hosts = [_Host(context, number, is_first_start=False) for number in range(count)]
     for host in hosts:
-        host.discovery.on_done = host.config.begin_among
+        host.discovery.on_done = host.config.start_if_default_poller
         host.config.start("op", "config")
         host.start()
     context.hosts = hosts
--- a/tests/features/steps/load_probes_steps.py
+++ b/tests/features/steps/load_probes_steps.py
@@ -173,7 +173,7 @@
         status = context.directory.view(name).status
         changed = status._replace(sequence=status.sequence + 1, **changes)
         context.directory.take(changed, context.loop.now())
-        context.prober.note_heard(name)
+        context.prober.record_contact(name)
 
 
 @when("all three answer after {milliseconds:d} ms")
--- a/tests/soak/members_mutants.py
+++ b/tests/soak/members_mutants.py
@@ -80,8 +80,8 @@
     "keep_suspicion": (HostView, "take", _keep_suspicion),
     "suspect_any": (HostView, "suspect", _suspect_any),
     "suspect_just_heard": (HostView, "suspect", _suspect_just_heard),
-    "never_outbid": (Announcer, "outbid", _do_nothing),
-    "never_seek": (Peers, "_seek_forgotten", _do_nothing),
+    "never_outbid": (Announcer, "raise_incarnation", _do_nothing),
+    "never_seek": (Peers, "_greet_forgotten", _do_nothing),
 }
 
 
--- a/tests/soak/members_world.py
+++ b/tests/soak/members_world.py
@@ -39,7 +39,7 @@
     stack = ExitStack()
     for name in ("_PUSH_MOST_HOSTS", "_PUSH_AGAIN_HOSTS"):
         stack.enter_context(patch(f"camphorshelf_core.hosts.{name}", 1))
-    draw = patch("camphorshelf_relay.announcer._draw_chance", lambda: _CHANCE.getrandbits(20))
+    draw = patch("camphorshelf_relay.announcer._draw_random_bits", lambda: _CHANCE.getrandbits(20))
     stack.enter_context(draw)
     return stack
 
@@ -77,7 +77,7 @@
         """Say that a host takes no new work; it never does so again in this process."""
         host = self.hosts[number]
         host.status = host.status._replace(accepting=False)
-        host.peers.tell()
+        host.peers.announce_changes()
 
     def cut(self, number):
         """Cut a host off, or connect it again."""
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -75,7 +75,7 @@
             before.is_up = False
         host = self.hosts[number] = Host(self, number, self._domains)
         self._by_ip = {one.ip: one for one in self.hosts.values()}
-        host.peers.start_ticking()
+        host.peers.start_timers()
         if with_roster:
             self.loop.call_later(0.02, lambda: self._learn(host))
         return host
@@ -129,4 +129,4 @@
         return [host for host in self.hosts.values() if host.is_up]
 
     def _learn(self, host):
-        host.peers.learn([one.address for one in self.hosts.values()])
+        host.peers.add_addresses([one.address for one in self.hosts.values()])
--- a/tests/standins/relayparts.py
+++ b/tests/standins/relayparts.py
@@ -2,7 +2,7 @@
 
 from camphorshelf_core.retrybudget import RetryTerms
 from camphorshelf_platform.documents import read_document, read_evacuations
-from camphorshelf_relay.configkeeper import DocumentReaders
+from camphorshelf_relay.configsync import DocumentReaders
 from camphorshelf_relay.settings import Addresses, Endpoint, NodeSettings
 
 READERS = DocumentReaders(read_document, read_evacuations)
