--- a/packages/relay/src/camphorshelf_relay/announcer.py
+++ b/packages/relay/src/camphorshelf_relay/announcer.py
@@ -30,14 +30,14 @@
 # host look silent.
 _REPEAT_SHARE = 0.9
 # How often a pushed status has its full form, for hosts that have missed an earlier full one.
-_FULL_STATUS_SECONDS = 3.0
+_FULL_STATUS_INTERVAL_SECONDS = 3.0
 # How often a host that was never heard or has fallen silent is greeted: a partition may heal.
-_GREETING_SECONDS = 0.5
+_GREETING_INTERVAL_SECONDS = 0.5
 # Greetings are sent in batches, so that the start of a node in a large fleet causes no burst.
 _GREETINGS_PER_BATCH = 20
-_GREETING_BATCH_SECONDS = 0.01
+_GREETING_BATCH_INTERVAL_SECONDS = 0.01
 # Minimum interval between two refutations of suspicions of this host.
-_REFUTE_SECONDS = 2.0
+_REFUTE_INTERVAL_SECONDS = 2.0
 # An announcement is repeated after these delays, through other forwarding hosts, in case datagrams
 # were lost.
 _REPEAT_DELAYS_SECONDS = (0.3, 1.0)
@@ -145,7 +145,7 @@
         :param address: the host's link address.
         :return: True or False.
         """
-        return self._loop.now() - self._greeted_at.get(address, 0.0) < _GREETING_SECONDS
+        return self._loop.now() - self._greeted_at.get(address, 0.0) < _GREETING_INTERVAL_SECONDS
 
     def announce_changes(self):
         """Announce this host's status soon if it has changed in a way that matters to others.
@@ -194,7 +194,7 @@
         :return: None.
         """
         now = self._loop.now()
-        if now - self._refuted_at >= _REFUTE_SECONDS:
+        if now - self._refuted_at >= _REFUTE_INTERVAL_SECONDS:
             self._refuted_at = now
             self.greet(self._directory.addresses)
 
@@ -269,7 +269,7 @@
             self._greeted_at[address] = now
             self._send_to(address, data)
         if self._greeting_queue:
-            self._loop.call_later(_GREETING_BATCH_SECONDS, self._send_greeting_batch)
+            self._loop.call_later(_GREETING_BATCH_INTERVAL_SECONDS, self._send_greeting_batch)
 
     def _announce_own(self, scope):
         self._announced = self._describe()
@@ -366,7 +366,7 @@
     def _encode_next(self, now):
         announced, status = self._announced, self.next_status()
         self._announced, self._pushed_at = status, now
-        is_due = now - self._full_status_at >= _FULL_STATUS_SECONDS
+        is_due = now - self._full_status_at >= _FULL_STATUS_INTERVAL_SECONDS
         if announced is None or is_due or not has_same_names(status, announced):
             self._full_status_at = now
             return encode(status)
--- a/packages/relay/src/camphorshelf_relay/configsync.py
+++ b/packages/relay/src/camphorshelf_relay/configsync.py
@@ -19,11 +19,11 @@
 
 # The store is polled and not watched: a watch whose connection hangs, or whose history the store
 # has compacted, may report nothing for seconds although there is a change.
-_POLL_SECONDS = 1.0
+_POLL_INTERVAL_SECONDS = 1.0
 # A poll without an answer for this long counts as lost store access; a slow store answers sooner.
 _POLL_OVERDUE_SECONDS = 0.4
 # How often a node that does not poll checks whether it has become a poller.
-_POLLER_CHECK_SECONDS = 0.25
+_POLLER_CHECK_INTERVAL_SECONDS = 0.25
 # Longest retry delay of a node that has a configuration. It is longer in large fleets, so that not
 # every node calls the store each second in an outage.
 _OUTAGE_RETRY_SECONDS = 4.0
@@ -250,7 +250,9 @@
         self.evacuations.apply_rows(self._readers.evacuations(result.rows), result.version)
         self._apply_rows(result.rows)
         # Jitter keeps the pollers from polling at the same moment.
-        self._loop.call_later(_POLL_SECONDS * self._random.uniform(0.75, 1.0), self._poll_if_due)
+        self._loop.call_later(
+            _POLL_INTERVAL_SECONDS * self._random.uniform(0.75, 1.0), self._poll_if_due
+        )
 
     def _poll_if_due(self):
         # Also without a configuration: when all nodes start together, only the pollers read it and
@@ -258,14 +260,16 @@
         if is_poller(self._settings.name, self._live_peers()) and self._is_poll_due():
             self._poll()
         else:
-            self._loop.call_later(_POLLER_CHECK_SECONDS, self._poll_if_due)
+            self._loop.call_later(_POLLER_CHECK_INTERVAL_SECONDS, self._poll_if_due)
 
     def _is_poll_due(self):
         others = list(self._live_peers())
         has_polled = self._last_answer_at is not None or self._failures
         if has_polled or is_default_poller(self._settings.name, others):
             return True
-        return self._random.random() < first_poll_probability(others, _POLLER_CHECK_SECONDS)
+        return self._random.random() < first_poll_probability(
+            others, _POLLER_CHECK_INTERVAL_SECONDS
+        )
 
     def _live_peers(self):
         now = self._loop.now()
--- a/packages/relay/src/camphorshelf_relay/discovery.py
+++ b/packages/relay/src/camphorshelf_relay/discovery.py
@@ -55,9 +55,9 @@
     def _on_written(self, result):
         if self._retry_on_failure(result, self._write):
             return
-        # The rows are read after the write: of two hosts that start at the same time, the one that
-        # reads after both writes finds the other. A host that has sent its addresses to this one
-        # found this host by its row, so it has read after this write.
+        # The rows are read after the write: of two hosts that start at the same time, at least one
+        # reads after both have written and finds the other. A host that has sent all addresses to
+        # this one has found it by its row, so it has read after this write.
         if self._settings.is_first_start:
             delay_s = self._random.uniform(0.0, _FIRST_READ_SPREAD_SECONDS)
             self._loop.call_later(delay_s, self._read_unless_known)
--- a/packages/relay/src/camphorshelf_relay/peers.py
+++ b/packages/relay/src/camphorshelf_relay/peers.py
@@ -35,7 +35,7 @@
 # because each one wakes the process.
 _STEPS_PER_TICK = 2
 # A silent link is kept while its host, which has just been probed, was heard within this time.
-_ALIVE_SECONDS = LINK_SILENCE_SECONDS * 1.5
+_LINK_ALIVE_SECONDS = LINK_SILENCE_SECONDS * 1.5
 # A node greets all other hosts within this time of its start.
 _STARTUP_SECONDS = 1.0
 # A suspicion is announced again after these delays.
@@ -43,11 +43,11 @@
 # Limit on the answers to greetings, however many hosts start at the same moment.
 _GREETING_ANSWERS_PER_SECOND = 500
 # Minimum interval between two requests for addresses by a node that does not have all of them.
-_ADDRESSES_REQUEST_SECONDS = 0.3
-_FORGET_SECONDS = 5.0
+_ADDRESSES_REQUEST_INTERVAL_SECONDS = 0.3
+_FORGET_INTERVAL_SECONDS = 5.0
 # How often one forgotten host is greeted. When one of them answers, this many more are greeted, for
 # they may have been cut off together with it.
-_FORGOTTEN_GREETING_SECONDS = 2.0
+_FORGOTTEN_GREETING_INTERVAL_SECONDS = 2.0
 _FORGOTTEN_GREETINGS_AFTER_RETURN = 20
 
 
@@ -139,8 +139,10 @@
         # One step short of a full tick, so that the detector and the announcer share their ticks.
         self._steps = _STEPS_PER_TICK - 1
         self._schedule_tick(1)
-        self._loop.call_every(_FORGET_SECONDS, self._forget_silent)
-        self._loop.call_every(_FORGOTTEN_GREETING_SECONDS, lambda: self._greet_forgotten(1))
+        self._loop.call_every(_FORGET_INTERVAL_SECONDS, self._forget_silent)
+        self._loop.call_every(
+            _FORGOTTEN_GREETING_INTERVAL_SECONDS, lambda: self._greet_forgotten(1)
+        )
 
     def add_addresses(self, addresses):
         """Add the addresses of all hosts, and greet the hosts that are new.
@@ -202,7 +204,7 @@
         view = self._directory.view(address)
         if view is None or view.suspected_at is not None:
             return False
-        return self._loop.now() - view.heard_at <= _ALIVE_SECONDS
+        return self._loop.now() - view.heard_at <= _LINK_ALIVE_SECONDS
 
     def _probe(self, address):
         view, now = self._directory.view(address), self._loop.now()
@@ -371,7 +373,7 @@
         # While the store's rows have not been read, another host can send all addresses.
         if (
             self._has_all_addresses
-            or now - self._addresses_requested_at < _ADDRESSES_REQUEST_SECONDS
+            or now - self._addresses_requested_at < _ADDRESSES_REQUEST_INTERVAL_SECONDS
         ):
             return
         self._addresses_requested_at = now
--- a/packages/relay/src/camphorshelf_relay/prober.py
+++ b/packages/relay/src/camphorshelf_relay/prober.py
@@ -3,7 +3,7 @@
 from camphorshelf_core.budget import TokenBucket
 from camphorshelf_core.loadprobes import PROBE_WAIT_SECONDS
 
-# Beyond this rate targets are chosen by the load known already; a target's node declines a request
+# Beyond this rate targets are chosen by the load known already; a target's node refuses a request
 # that it has no room for.
 _MAX_PROBES_PER_SECOND = 200
 
--- a/packages/relay/src/camphorshelf_relay/relay.py
+++ b/packages/relay/src/camphorshelf_relay/relay.py
@@ -54,11 +54,11 @@
         self._offered_addresses = set()
         self._probed_addresses = set()
         self._probe_rounds = 0
-        # How many targets have been handed the request.
+        # How many targets have received the request.
         self._attempts = 0
         self._offer_count = 0
         self._late_offer_count = 0
-        # The function that cancels each offer without a response yet.
+        # Offers without a response yet, each with the function that cancels it.
         self._pending_offers = {}
         self._shortest_wait_s = None
         self._may_have_run = False
@@ -84,7 +84,11 @@
 
     def _offer_next(self):
         candidates = self._rank_targets(self._loop.now())
-        untried = [one for one in candidates if one.address not in self._offered_addresses]
+        untried = [
+            candidate
+            for candidate in candidates
+            if candidate.address not in self._offered_addresses
+        ]
         if not candidates:
             self._refuse(Code.NO_TARGET, self._no_target_reason())
         elif not self._probe(untried):
@@ -111,7 +115,9 @@
 
     def _offer_best(self, candidates, untried):
         now = self._loop.now()
-        on_time = [one for one in untried if now + one.expected_s <= self._objective_at]
+        on_time = [
+            candidate for candidate in untried if now + candidate.expected_s <= self._objective_at
+        ]
         if on_time and self._offer_count < _MAX_ON_TIME_OFFERS:
             self._offer(on_time[0], LatePolicy.REJECT)
         elif self._late_offer_count < self._late_policy and (untried or not self._late_offer_count):
@@ -257,11 +263,11 @@
         now = self._loop.now()
         due_at = self._objective_at if now < self._objective_at else self._expires_at
         idle = [
-            one
-            for one in self._rank_targets(now)
-            if one.address not in self._offered_addresses
-            and one.wait_s == 0.0
-            and now + one.expected_s <= due_at
+            candidate
+            for candidate in self._rank_targets(now)
+            if candidate.address not in self._offered_addresses
+            and candidate.wait_s == 0.0
+            and now + candidate.expected_s <= due_at
         ]
         if idle and self._router.spend_retry(self._service, is_rerun=True):
             (pending,) = self._pending_offers
--- a/packages/relay/src/camphorshelf_relay/router.py
+++ b/packages/relay/src/camphorshelf_relay/router.py
@@ -278,7 +278,7 @@
     host = (header(request.headers, b"host") or b"").decode("latin-1").strip().lower()
     path = request.path.decode("latin-1")
     if not path.startswith("/") and "://" in path:
-        # An absolute URI; the connection has checked that its host equals the Host header.
+        # An absolute URI. The connection has checked that it names the same host as the header.
         path = "/" + path.partition("://")[2].partition("/")[2]
     return _strip_port(host), path.partition("?")[0].partition("#")[0]
 
