--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -101,7 +101,7 @@
 
 
 def _no_quarantine():
-    crashes.CrashWatch.is_refused = lambda self, name: False
+    crashes.CrashTracker.is_quarantined = lambda self, name: False
 
 
 def _no_short_statuses():
--- a/deploy/node.py
+++ b/deploy/node.py
@@ -1,15 +1,15 @@
-"""Starts a node from a checkout: its packages are found beside this file."""
+"""Starts a node from a checkout without installing its packages."""
 
 import gc
 import sys
 import time
 from pathlib import Path
 
-# Importing takes up to a second on a small host.
+# Taken before the imports, which take up to one second on a small host.
 _STARTED_AT = time.clock_gettime(time.CLOCK_BOOTTIME)
 
-# Nearly all that is made while importing lives as long as the process; the node goes on collecting
-# once it has started.
+# Nearly all objects created while importing live as long as the process. The node enables garbage
+# collection again when it has started.
 gc.disable()
 
 _ROOT = Path(__file__).resolve().parent.parent
@@ -20,9 +20,9 @@
     str(_ROOT / "platform"),
 ]
 
-# circuits declares a namespace by pkg_resources where that can be imported, and by pkgutil
-# otherwise. The import takes a third of a start and a sixth of the node's memory, and nothing else
-# here uses it.
+# circuits declares a namespace package with pkg_resources if that can be imported, and with pkgutil
+# otherwise. Importing pkg_resources takes a third of the startup time and a sixth of the node's
+# memory, and nothing else in the node uses it.
 sys.modules["pkg_resources"] = None
 
 from camphorshelf_platform.main import main  # noqa: E402
--- a/packages/relay/src/camphorshelf_relay/__init__.py
+++ b/packages/relay/src/camphorshelf_relay/__init__.py
@@ -1,1 +1,1 @@
-"""The request path between nodes: entry, relay, admission at the target, and host statuses."""
+"""The request path of a node: routing, relaying, admission at the target, and host statuses."""
--- /dev/null
+++ b/packages/relay/src/camphorshelf_relay/admissioncontroller.py
@@ -0,0 +1,93 @@
+"""Admission control at the local target: decides whether and when a request may run there."""
+
+from camphorshelf_core.errors import Code, Ran
+
+from .targetrequest import TargetRequest
+
+
+class AdmissionController:
+    """The single entry point for all requests to the local target.
+
+    :param loop: the node's loop.
+    :param settings: the :class:`~camphorshelf_relay.settings.NodeSettings`.
+    :param header_codec: the :class:`~camphorshelf_relay.settings.HeaderCodec`.
+    :param admission: the :class:`~camphorshelf_core.admissionqueue.AdmissionQueue`.
+    :param target: the :class:`~camphorshelf_relay.target.Target`.
+    :param crashes: the :class:`~camphorshelf_relay.crashes.CrashTracker`.
+    :param log: the :class:`~camphorshelf_relay.eventlog.EventLog`.
+    """
+
+    def __init__(self, loop, settings, header_codec, admission, target, crashes, log):
+        self._loop = loop
+        self._settings = settings
+        self.crashes = crashes
+        self.header_codec = header_codec
+        self.admission = admission
+        self.target = target
+        self.log = log
+        self.counts = {}
+        self._dispatch_timer = None
+        self._shutdown_at = None
+        self.on_response = lambda waited_s, ran_s: None
+
+    def submit(self, message, reply):
+        """Start, queue or decline a request.
+
+        :param message: the :class:`~camphorshelf_core.messages.RelayMessage`.
+        :param reply: called once with a :class:`~camphorshelf_core.messages.RelayAnswerMessage` or
+            a :class:`~camphorshelf_core.messages.RelayRefusedMessage`.
+        :return: a function that cancels the request, or None if it has been declined already.
+        """
+        request = TargetRequest(self, self._loop, message, reply)
+        if not self.target.accepting or message.service != self._settings.service:
+            request.decline(Code.NO_TARGET, self.target.closed_reason, Ran.NOT_RUN)
+            return None
+        if self._shutdown_at is not None and self._loop.now() + message.left_s > self._shutdown_at:
+            request.decline(
+                Code.NO_TARGET,
+                "the node may shut down before the request's deadline",
+                Ran.NOT_RUN,
+            )
+            return None
+        if self.crashes.is_quarantined(request.fingerprint):
+            request.decline(
+                Code.QUARANTINED,
+                "the request is quarantined because targets crashed while running it",
+                Ran.NOT_RUN,
+            )
+            return None
+        cancel = request.offer()
+        self.schedule_dispatch()
+        self.target.on_change()
+        return cancel
+
+    def set_shutdown_time(self, moment):
+        """Decline requests whose deadline lies after the node's shutdown.
+
+        :param moment: when the node shuts down, in seconds on the loop's clock.
+        :return: None.
+        """
+        self._shutdown_at = moment
+
+    def schedule_dispatch(self):
+        """Set a timer for the next queued request that only the limit of a cold target delays.
+
+        :return: None.
+        """
+        wait = self.admission.next_dispatch_s(self._loop.now())
+        if wait is None or self._dispatch_timer is not None:
+            return
+        self._dispatch_timer = self._loop.call_later(wait, self._on_dispatch_timer)
+
+    def _on_dispatch_timer(self):
+        self._dispatch_timer = None
+        self.admission.dispatch(self._loop.now())
+        self.schedule_dispatch()
+
+    def count_outcome(self, outcome):
+        """Count the outcome of a request.
+
+        :param outcome: the outcome's name, used as a metric label.
+        :return: None.
+        """
+        self.counts[outcome] = self.counts.get(outcome, 0) + 1
--- a/packages/relay/src/camphorshelf_relay/crashes.py
+++ b/packages/relay/src/camphorshelf_relay/crashes.py
@@ -1,26 +1,32 @@
-"""Requests under which targets crash: noticed here, told to the others, refused everywhere.
+"""Tracks requests under which targets crash, and shares them with other nodes.
 
-Load pattern: one request that crashes each target that begins to run it, sent again and again by
-its caller. Without a memory of it a service of three targets is gone after three tries.
+Failure pattern: a request crashes each target that starts to run it, and its caller sends it again
+and again. Without quarantine, three attempts take down all targets of a service that has three.
 """
 
 from typing import NamedTuple
 
 from camphorshelf_core.quarantine import Crashes, Quarantine, Standing, fingerprint
 
-# A crash is noticed by the broken connections first and by a refused one, or by another process
-# at the address, a moment later; what was lost longer before has nothing to do with it.
-_NOTICED_SECONDS = 1.5
-_TOLD_CRASHES = 4
-_TOLD_SECONDS = 60.0
+# A crash shows first as broken connections and, a moment later, as a refused connection or another
+# process at the address. Requests whose connections broke longer ago are unrelated to it.
+_DETECTION_SECONDS = 1.5
+# Bounds of what is sent to other nodes.
+_MAX_SENT_FINGERPRINTS = 4
+_SENT_SECONDS = 60.0
 
 
-class CrashTerms(NamedTuple):
-    """When a request is refused for its crashes.
+class QuarantineLimits(NamedTuple):
+    """When a request is quarantined because of crashes.
 
-    Two crashes under the same request are no chance: a target crashes a few times a day and has
-    some seven of thousands of requests running. It is forgiven after a time, for whatever is wrong
-    with it may have been mended in the target.
+    Two crashes under the same request are no coincidence: a target crashes a few times per day and
+    runs about seven of thousands of requests at a time. A quarantine ends after a while because the
+    target may have been fixed.
+
+    :param crashes: the number of crashes after which the request is quarantined.
+    :param suspicion_ms: for how long the request stays a suspect after a crash, in milliseconds.
+    :param hold_ms: how long the quarantine lasts after the last crash, in milliseconds.
+    :param remembered: the largest number of requests that are remembered.
     """
 
     crashes: int = 2
@@ -29,81 +35,86 @@
     remembered: int = 1_024
 
 
-class CrashWatch:
-    """What this node knows of requests that crash targets."""
+class CrashTracker:
+    """The requests that this node knows to have crashed targets.
+
+    :param loop: the node's loop.
+    :param name: the name of this node's host.
+    :param log: the :class:`~camphorshelf_relay.eventlog.EventLog`.
+    """
 
     def __init__(self, loop, name, log):
         self._loop = loop
         self._name = name
         self._log = log
-        self._quarantine = Quarantine(CrashTerms(), name)
+        self._quarantine = Quarantine(QuarantineLimits(), name)
         self._lost = []
-        self._own = {}
+        self._blamed_at = {}
 
     @property
-    def told(self):
-        """Pairs of fingerprint and count of the crashes that were noticed here lately."""
+    def recent_crashes(self):
+        """Pairs of fingerprint and crash count, for requests recently blamed by this node."""
         now = self._loop.now()
-        recent = [name for name, at in self._own.items() if now - at < _TOLD_SECONDS]
+        recent = [name for name, at in self._blamed_at.items() if now - at < _SENT_SECONDS]
         return tuple(
             (name, self._quarantine.evidence(name)[0][self._name].count)
-            for name in recent[-_TOLD_CRASHES:]
+            for name in recent[-_MAX_SENT_FINGERPRINTS:]
             if self._name in self._quarantine.evidence(name)[0]
         )
 
-    def name(self, message):
-        """Give the fingerprint of a request.
+    def fingerprint(self, message):
+        """Compute the fingerprint of a request.
 
         :param message: the :class:`~camphorshelf_core.messages.RelayMessage`.
-        :return: the text.
+        :return: the fingerprint, a string.
         """
         return fingerprint(message.service, message.method, message.path, message.body)
 
-    def is_refused(self, name):
-        """Tell whether a request may not run.
+    def is_quarantined(self, name):
+        """Tell whether a request is quarantined.
 
-        :param name: its fingerprint.
+        :param name: the request's fingerprint.
         :return: True or False.
         """
         return self._quarantine.standing(name, self._loop.now()) is Standing.REFUSED
 
-    def note_lost(self, name):
-        """Take in that the target broke off while it had a request.
+    def record_connection_lost(self, name):
+        """Record that the connection to the target broke while it ran a request.
 
         :param name: the request's fingerprint.
         :return: None.
         """
         now = self._loop.now()
-        self._lost = [one for one in self._lost if now - one[1] < _NOTICED_SECONDS]
+        self._lost = [pair for pair in self._lost if now - pair[1] < _DETECTION_SECONDS]
         self._lost.append((name, now))
 
-    def note_answered(self, name, started):
-        """Take in that a request ran to its answer.
+    def record_completed(self, name, started):
+        """Record that the target answered a request, which clears it of suspicion.
 
         :param name: the request's fingerprint.
-        :param started: when it began.
+        :param started: when the target started to run it, in seconds on the loop's clock.
         :return: None.
         """
         self._quarantine.note_clean(name, started, self._loop.now())
 
-    def note_crash(self):
-        """Take in that the target's process has ended unasked.
+    def record_crash(self):
+        """Record that the target's process crashed, and blame the requests that it ran.
 
         :return: None.
         """
         now = self._loop.now()
         lost, self._lost = self._lost, []
-        names = [name for name, at in lost if now - at < _NOTICED_SECONDS]
-        for name in self._quarantine.note_crash(names, now):
-            self._own.pop(name, None)
-            self._own[name] = now
-            self._log.notable("crash_blamed", fingerprint=name, refused=self.is_refused(name))
+        suspects = [name for name, at in lost if now - at < _DETECTION_SECONDS]
+        for name in self._quarantine.note_crash(suspects, now):
+            self._blamed_at.pop(name, None)
+            self._blamed_at[name] = now
+            self._log.notable("crash_blamed", fingerprint=name, refused=self.is_quarantined(name))
 
-    def hear(self, host, crashes):
-        """Take in what another host has noticed.
+    def merge_remote(self, host, crashes):
+        """Merge the crash counts of another host.
 
-        :param host: its name.
-        :param crashes: pairs of fingerprint and count.
+        :param host: the host's name.
+        :param crashes: pairs of fingerprint and crash count.
         :return: None.
         """
         now = self._loop.now()
--- a/packages/relay/src/camphorshelf_relay/events.py
+++ b/packages/relay/src/camphorshelf_relay/events.py
@@ -1,14 +1,15 @@
-"""The events that a node logs; docs/LOGS.md is their table."""
+"""The events that a node logs; docs/LOGS.md lists them for operators."""
 
 from typing import NamedTuple
 
 
 class Event(NamedTuple):
-    """One kind of log line.
+    """One type of log line.
 
-    :param name: the line's ``event``.
-    :param meaning: what happened, in a sentence.
-    :param fields: its fields beside ``time``, ``host`` and ``event``.
+    :param name: the value of the line's ``event`` field.
+    :param meaning: what happened, in one or two sentences.
+    :param fields: the names of its fields besides ``time``, ``host`` and ``event``, separated by
+        spaces.
     """
 
     name: str
@@ -20,96 +21,114 @@
 EVENTS = (
     Event(
         "answered",
-        "A caller got a target's answer. `expected_ms` is what the choice foretold.",
+        "A caller got a target's response. `expected_ms` is the latency predicted when the target "
+        "was chosen.",
         f"{_REQUEST} status service target expected_ms waited_ms ran_ms slowness offers bytes",
     ),
     Event(
         "refused",
-        "A caller got a refusal of the node's own; `ran` tells what is known of the work.",
+        "A caller got an error response from the node itself. `ran` tells what is known about "
+        "whether the request was executed.",
         f"{_REQUEST} code ran reason retry_after_ms service offers held_ms under_way",
     ),
-    Event("caller_left", "A caller closed its connection first; its work is cancelled.", _REQUEST),
+    Event(
+        "caller_left",
+        "A caller closed its connection before the response; its request is cancelled.",
+        _REQUEST,
+    ),
     Event(
         "declined",
-        "A target's node gave no answer to an offer; the request may go on elsewhere.",
+        "A target's node declined a request or its target failed. The request may be retried at "
+        "another target.",
         "request route target expected_ms code wait_s",
     ),
     Event(
         "repeat",
-        "An idempotent request failed at a target and goes to another one.",
+        "An idempotent request failed at a target and is retried at another one.",
         "request route target expected_ms status",
     ),
     Event(
         "hedge",
-        "An idempotent request takes long and is hedged: sent to a second target, `to`, as well.",
+        "An idempotent request is slow and is hedged: also sent to a second target, `to`.",
         "request route target expected_ms to",
     ),
     Event(
         "turned_away",
-        "The target's node did not let a request in or sent it away from the queue: not run.",
+        "The target's node rejected a request or removed it from the queue. It was not executed.",
         "request code ran wait_ms running queued limit slowness cold instance held_ms",
     ),
     Event(
         "run_failed",
-        "A request that was handed to the target got no answer from it.",
+        "A request was started at the target but got no usable response.",
         "request code ran wait_ms running queued limit slowness cold instance held_ms",
     ),
     Event(
         "run_cancelled",
-        "The entry node called a request off while the target had it, or while it waited there.",
+        "The entry node cancelled a request while it was running at the target or queued there.",
         "request waited_ms ran_ms slowness instance",
     ),
     Event(
         "run_ended",
-        "The target answered a request. `framing` tells what ended its body, `reused` whether the "
-        "connection had carried another request, `skipped` how many answers to others came first.",
+        "The target answered a request. `framing` tells how the end of the body was found, "
+        "`reused` whether the connection had carried another request before, `skipped` how many "
+        "responses to other requests came first.",
         "request status waited_ms ran_ms slowness instance bytes framing reused skipped",
     ),
     Event(
         "stray_answer",
-        "The target said something that belongs to no request: `ahead` of the answer to `request`, "
-        "`behind` it, or while the connection was `idle`. It was dropped.",
+        "The target sent bytes that belong to no request: `ahead` of the response to `request`, "
+        "`behind` it, or while the connection was `idle`. They were discarded.",
         "request place instance",
     ),
     Event(
         "limit_moved",
-        "Another number of requests is let in at once, by how long they ran with one more or less.",
+        "The concurrency limit changed, based on how long requests ran with one more or one fewer "
+        "at once.",
         "before limit slots instance",
     ),
     Event(
         "target",
-        "What the node believes of its target changed; `cause` tells what told it.",
+        "The state of the target changed; `cause` tells why.",
         "cause instance accepting leaving down evacuated cold",
     ),
-    Event("heartbeat_refused", "A heartbeat was not understood or is not for this host.", "reason"),
-    Event("crash_blamed", "The target ended while it had this request.", "fingerprint refused"),
+    Event(
+        "heartbeat_refused",
+        "A heartbeat could not be parsed or belongs to another service.",
+        "reason",
+    ),
+    Event("crash_blamed", "The target crashed while it ran this request.", "fingerprint refused"),
     Event(
         "config_in_force",
-        "Another version is in force; `source` is the store or a peer.",
+        "Another version of the configuration is in force; `source` is the store or a peer.",
         "version before source routes",
     ),
     Event(
         "evacuation",
-        "A failure domain is evacuated, or not any more, by the operators' row of that version.",
+        "A failure domain was evacuated or its evacuation ended. `row_version` is the version of "
+        "the operators' row that says so.",
         "domain evacuated row_version as_of",
     ),
-    Event("config_refused", "A document could not be used; nothing changed.", "source reason"),
-    Event("store_lost", "The store does not answer as it should.", "trouble reason"),
+    Event(
+        "config_refused",
+        "A configuration document was invalid; the configuration is unchanged.",
+        "source reason",
+    ),
+    Event("store_lost", "The store is unreachable or fails.", "trouble reason"),
     Event("store_regained", "The store answers again.", "failures"),
     Event("host_found", "A host was found in the store's rows.", "address"),
-    Event("host_heard", "A host tells its status for the first time or again.", "name address"),
+    Event("host_heard", "A host sent its status for the first time or again.", "name address"),
     Event(
         "host_silent",
-        "A host does not answer probes, or has stopped to push its status; `source` is who "
-        "noticed: a probe of this node, the news of another one, or silence.",
+        "A host does not answer probes or has stopped sending its status. `source` tells how this "
+        "was detected: by a probe of this node, by a report of another node, or by a timeout.",
         "address source",
     ),
-    Event("host_rows_refused", "Rows of hosts that could not be read.", "count"),
+    Event("host_rows_refused", "Rows of hosts in the store could not be parsed.", "count"),
     Event("start", "The node has started.", "service domain"),
-    Event("reload", "The settings were read again.", "changed"),
-    Event("reload_failed", "The settings could not be read again; the old ones hold.", ""),
+    Event("reload", "The settings were reloaded.", "changed"),
+    Event("reload_failed", "The settings could not be reloaded; the old ones remain in force.", ""),
     Event("stop", "The node was told to stop.", "running callers"),
-    Event("stopped", "The node ends; `idle` tells whether nothing was cut off.", "idle"),
-    Event("lines_dropped", "Lines left out so far, by reason.", "rate unread"),
-    Event("fault", "A fault in the node's own code.", "traceback"),
+    Event("stopped", "The node exits; `idle` tells whether no work was cut off.", "idle"),
+    Event("lines_dropped", "Number of dropped log lines so far, by reason.", "rate unread"),
+    Event("fault", "An unhandled exception in the node's own code.", "traceback"),
 )
--- a/packages/relay/src/camphorshelf_relay/healthprobe.py
+++ b/packages/relay/src/camphorshelf_relay/healthprobe.py
@@ -1,67 +1,69 @@
-"""Asks the target beside the node for its health and load, more often where they are in doubt."""
+"""Probes the health and the load of the local target, more often while its state is uncertain."""
 
 from typing import NamedTuple
 
 from camphorshelf_core.calls import Request
 
-from .targetconnection import Answered
+from .targetconnection import TargetResponse
 
-# Short against the time for which a host's speed holds. Answers to requests carry the same load
-# report, so a busy target is probed less.
-_PROBE_SECONDS = 0.05
+# Default interval between probes, short compared with how long a host's speed stays the same.
+# Responses to requests carry the same load report, so a busy target is probed less often.
+_PROBE_INTERVAL_SECONDS = 0.05
 _TIMEOUT_SECONDS = 0.25
-_LEAST_PAUSE_SECONDS = 0.005
-# Asked less while nothing is known of the configuration or the target is down: a connection that
-# is refused costs as much as one that is not.
-_DOWN_SECONDS = 0.2
-# The health path answers at once. Two questions without an answer are half a second's silence.
-_SILENT_PROBES = 2
-# A target may turn cold at any moment, and only its health says so.
-_COLD_SECONDS = 0.1
+_MIN_TIMER_SECONDS = 0.005
+# Interval while the target is down: a refused connection costs as much as an accepted one.
+_DOWN_INTERVAL_SECONDS = 0.2
+# Consecutive probes without a response after which the target counts as unreachable. The health
+# path answers immediately, so two timeouts mean that the target was silent for half a second.
+_MAX_SILENT_PROBES = 2
+# Longest interval for targets that can be cold. A target may turn cold at any time and reports that
+# only in responses to probes.
+_COLD_INTERVAL_SECONDS = 0.1
 
 
 class ProbeHandlers(NamedTuple):
-    """What becomes of a probe, and what decides when the next one is due.
-
-    :param on_answer: takes the :class:`~camphorshelf_relay.targetconnection.Answered`.
-    :param on_lost: called when the connection broke off.
-    :param on_unreachable: called when the target takes no connection, or says nothing.
-    :param is_down: tells whether the target takes no connections.
-    :param is_doubted: tells whether it has yet to say whether it is cold.
+    """Callbacks for the results of probes, and functions that determine the next probe's time.
+
+    :param on_response: called with a :class:`~camphorshelf_relay.targetconnection.TargetResponse`.
+    :param on_lost: called when the connection broke after the probe was sent.
+    :param on_unreachable: called when the target accepts no connection or several probes in a row
+        timed out.
+    :param is_down: returns whether the target is known to accept no connections.
+    :param is_cold_state_unknown: returns whether it is unknown if the target is cold.
     """
 
-    on_answer: object
+    on_response: object
     on_lost: object
     on_unreachable: object
     is_down: object
-    is_doubted: object
+    is_cold_state_unknown: object
 
 
 class HealthProbe:
-    """The probes of one target.
+    """Sends health probes to one target.
 
     :param loop: the node's loop.
     :param settings: the :class:`~camphorshelf_relay.settings.NodeSettings`.
-    :param link: the :class:`~camphorshelf_relay.targetlink.TargetLink`.
+    :param pool: the :class:`~camphorshelf_relay.targetpool.TargetConnectionPool`.
     :param handlers: the :class:`ProbeHandlers`.
     """
 
-    def __init__(self, loop, settings, link, handlers):
+    def __init__(self, loop, settings, pool, handlers):
         self._loop = loop
         self._settings = settings
-        self._link = link
+        self._pool = pool
         self._handlers = handlers
         self._path = None
         self._may_be_cold = False
-        self._load_at = 0.0
+        self._load_reported_at = 0.0
         self._sent_at = 0.0
-        self._is_under_way = False
-        self._silent = 0
+        self._is_in_flight = False
+        self._silent_probes = 0
         self.counts = {"probe": 0, "silent_probe": 0}
-        self._timer = loop.call_later(_PROBE_SECONDS, self._review)
+        self._timer = loop.call_later(_PROBE_INTERVAL_SECONDS, self._probe_if_due)
 
-    def take_settings(self, settings):
-        """Take changed bounds.
+    def apply_settings(self, settings):
+        """Install reloaded settings.
 
         :param settings: the :class:`~camphorshelf_relay.settings.NodeSettings`.
         :return: None.
@@ -69,78 +71,82 @@
         self._settings = settings
 
     def configure(self, path, may_be_cold):
-        """Take what is configured.
+        """Set what is probed.
 
-        :param path: the health path; None to ask nothing.
-        :param may_be_cold: whether it matters at once when the target turns cold.
+        :param path: the health path; None to send no probes.
+        :param may_be_cold: whether requests to a cold target are limited, so that a cold target has
+            to be detected quickly.
         :return: None.
         """
         self._path = path
         self._may_be_cold = may_be_cold
-        self.ask_if_doubted()
+        self.probe_if_cold_state_unknown()
 
-    def ask_if_doubted(self):
-        """Ask at once, where it is not known whether the target is cold and that matters.
+    def probe_if_cold_state_unknown(self):
+        """Reschedule the next probe if the target can be cold and it is unknown whether it is.
 
         :return: None.
         """
-        if self._may_be_cold and self._handlers.is_doubted():
+        if self._may_be_cold and self._handlers.is_cold_state_unknown():
             self._timer.cancel()
-            self._review()
+            self._probe_if_due()
 
-    def note_load_told(self):
-        """Take in that an answer to a request has told the load.
+    def record_load_report(self):
+        """Record that a response carried a load report.
 
         :return: None.
         """
-        self._load_at = self._loop.now()
-
-    def _review(self):
-        wait = _PROBE_SECONDS
-        if not self._is_under_way and self._path is not None:
-            pause = _DOWN_SECONDS if self._handlers.is_down() else _PROBE_SECONDS
-            pause = max(pause, 1 / self._settings.probes_per_s)
-            wait = self._due_at(pause) - self._loop.now()
+        self._load_reported_at = self._loop.now()
+
+    def _probe_if_due(self):
+        wait = _PROBE_INTERVAL_SECONDS
+        if not self._is_in_flight and self._path is not None:
+            interval = (
+                _DOWN_INTERVAL_SECONDS if self._handlers.is_down() else _PROBE_INTERVAL_SECONDS
+            )
+            interval = max(interval, 1 / self._settings.probes_per_s)
+            wait = self._due_at(interval) - self._loop.now()
             if wait <= 0:
                 self._send(self._loop.now())
-                wait = pause
-        self._timer = self._loop.call_later(max(_LEAST_PAUSE_SECONDS, wait), self._review)
+                wait = interval
+        self._timer = self._loop.call_later(max(_MIN_TIMER_SECONDS, wait), self._probe_if_due)
 
-    def _due_at(self, pause):
-        # Answers to requests tell the load too; the next probe is due after the last of them.
-        due_at = max(self._load_at, self._sent_at) + pause
+    def _due_at(self, interval):
+        # The interval starts at the last load report, which may have come with the response to a
+        # request.
+        due_at = max(self._load_reported_at, self._sent_at) + interval
         if not self._may_be_cold:
             return due_at
-        if self._handlers.is_doubted() and not self._handlers.is_down():
+        if self._handlers.is_cold_state_unknown() and not self._handlers.is_down():
             return self._sent_at + 1 / self._settings.probes_per_s
-        return min(due_at, self._sent_at + max(pause, _COLD_SECONDS))
+        return min(due_at, self._sent_at + max(interval, _COLD_INTERVAL_SECONDS))
 
     def _send(self, now):
-        self._is_under_way = True
+        self._is_in_flight = True
         self._sent_at = now
         self.counts["probe"] += 1
         host = self._settings.addresses.target.text
         request = Request("GET", self._path.encode(), ((b"host", host.encode()),), b"")
-        timer = self._loop.call_later(_TIMEOUT_SECONDS, lambda: self._on_silence(abort))
-        abort = self._link.send(request, "", True, lambda result: self._on_result(result, timer))
+        timer = self._loop.call_later(_TIMEOUT_SECONDS, lambda: self._on_timeout(abort))
+        abort = self._pool.send(request, "", True, lambda result: self._on_result(result, timer))
 
-    def _on_silence(self, abort):
+    def _on_timeout(self, abort):
         abort()
-        # Connections can go silent all at once while new ones work: one that says nothing speaks
-        # against all kept ones, and the next question finds out by a new one.
-        self._link.close_idle()
-        self._is_under_way = False
-        self._silent += 1
+        # All open connections can hang at once while new ones work. So a timeout closes the idle
+        # ones too, and the next probe uses a new connection.
+        self._pool.close_idle()
+        self._is_in_flight = False
+        self._silent_probes += 1
         self.counts["silent_probe"] += 1
-        if self._silent >= _SILENT_PROBES:
+        if self._silent_probes >= _MAX_SILENT_PROBES:
             self._handlers.on_unreachable()
 
     def _on_result(self, result, timer):
         timer.cancel()
-        self._is_under_way = False
-        if isinstance(result, Answered):
-            self._silent = 0
-            self._handlers.on_answer(result)
+        self._is_in_flight = False
+        if isinstance(result, TargetResponse):
+            self._silent_probes = 0
+            self._handlers.on_response(result)
         elif result.sent:
             self._handlers.on_lost()
         else:
--- a/packages/relay/src/camphorshelf_relay/listeners.py
+++ b/packages/relay/src/camphorshelf_relay/listeners.py
@@ -1,4 +1,4 @@
-"""Listeners for callers, peers and the platform's questions."""
+"""Listeners for callers, for links of peers, and for HTTP requests of the platform."""
 
 from camphorshelf_core.calls import Response
 from camphorshelf_core.errors import Code, Ran
@@ -7,16 +7,23 @@
 from camphorshelf_node.links import KERNEL_SILENCE_SECONDS, PeerServer
 from camphorshelf_node.streams import listen
 
-# Leaves descriptors of the process for targets, links, files and the store.
-_MAX_CALLERS = 3_000
-_PLAIN = ((b"content-type", b"application/json"),)
-_LEAST_SECONDS = 0.005
+# Leaves file descriptors for connections to targets, peers and the store, and for files.
+_MAX_CALLER_CONNECTIONS = 3_000
+_JSON_HEADERS = ((b"content-type", b"application/json"),)
+# Requests with less time left than this are declined.
+_MIN_REMAINING_SECONDS = 0.005
 
 
-class LiveLimits:
-    """Bounds on callers' connections, as the configuration of this moment has them."""
+class CurrentLimits:
+    """Limits of callers' connections according to the configuration in force.
 
-    # A body may come as slowly as its request's time allows; this only ends what was given up.
+    Fixed defaults apply until there is a configuration.
+
+    :param config: the :class:`~camphorshelf_relay.configsync.ConfigSynchronizer`.
+    """
+
+    # A body may arrive as slowly as its request's deadline allows. This timeout only closes
+    # connections of callers that have given up.
     body_timeout_ms = 30_000
 
     def __init__(self, config):
@@ -24,22 +31,22 @@
 
     @property
     def head_bytes(self):
-        """The largest head, in bytes."""
+        """The largest size of a request head, in bytes."""
         return self._limits.head_bytes if self._limits else 16_384
 
     @property
     def body_bytes(self):
-        """The largest body, in bytes."""
+        """The largest size of a request body, in bytes."""
         return self._limits.body_bytes if self._limits else 1_048_576
 
     @property
     def head_timeout_ms(self):
-        """How long a head may take to arrive."""
+        """How long a request head may take to arrive, in milliseconds."""
         return int(self._limits.head_timeout_s * 1000) if self._limits else 5_000
 
     @property
     def idle_timeout_ms(self):
-        """How long a connection may be idle."""
+        """How long a connection may be idle, in milliseconds."""
         return int(self._limits.idle_timeout_s * 1000) if self._limits else 15_000
 
     @property
@@ -48,7 +55,16 @@
 
 
 class CallerListener:
-    """Takes callers' connections."""
+    """Accepts callers' connections.
+
+    :param loop: the node's loop.
+    :param address: the :class:`~camphorshelf_relay.settings.Endpoint` to listen on.
+    :param limits: the :class:`CurrentLimits`.
+    :param handle: called with the :class:`~camphorshelf_node.exchange.Exchange` of each request.
+    :param on_fault: called with the exception when a request ends in one.
+    :param may_overlap: called with a :class:`~camphorshelf_core.calls.Request`; returns whether it
+        may run concurrently with others of its connection. None if none may.
+    """
 
     def __init__(self, loop, address, limits, handle, on_fault, may_overlap=None):
         self._loop = loop
@@ -62,26 +78,27 @@
 
     @property
     def connections(self):
-        """How many callers are connected."""
+        """The number of open connections."""
         return len(self._connections)
 
     @property
     def busy(self):
-        """Whether any caller waits for an answer."""
+        """Whether any caller waits for a response."""
         return any(connection.busy for connection in self._connections)
 
     def start(self):
-        """Begin to listen.
+        """Start listening.
 
         :return: None.
         """
         self._close_listener = listen(self._loop, self._address, self._on_accept)
 
     def finish(self):
-        """Take no new connection, and close each one as soon as it is idle.
+        """Stop listening, and close each connection as soon as it is idle.
 
-        A caller that comes all the same finds no connection and goes elsewhere. Read and then cut
-        off at the process's end, its request might have run.
+        A caller whose connection is refused knows that its request did not run and can go
+        elsewhere. If the request were read and then cut off when the process exits, it might have
+        run.
 
         :return: None.
         """
@@ -90,8 +107,9 @@
             connection.finish()
 
     def _on_accept(self, stream, _peer):
-        if len(self._connections) >= _MAX_CALLERS:
-            # Unread, so the caller knows that nothing ran and goes elsewhere at once.
+        if len(self._connections) >= _MAX_CALLER_CONNECTIONS:
+            # Closing the connection without reading from it tells the caller that nothing ran, so
+            # it can go elsewhere at once.
             stream.close()
             return
         connection = HttpConnection(
@@ -108,7 +126,13 @@
 
 
 class LinkListener:
-    """Takes links of peers."""
+    """Accepts links of peers.
+
+    :param loop: the node's loop.
+    :param address: the :class:`~camphorshelf_relay.settings.Endpoint` to listen on.
+    :param make_handlers: returns the message handlers of a new link, see
+        :func:`make_link_handlers`.
+    """
 
     def __init__(self, loop, address, make_handlers):
         self._loop = loop
@@ -118,11 +142,11 @@
 
     @property
     def busy(self):
-        """Whether any peer waits for an answer."""
+        """Whether any peer waits for a reply."""
         return any(server.busy for server in self._servers)
 
     def start(self):
-        """Begin to listen.
+        """Start listening.
 
         :return: None.
         """
@@ -134,68 +158,82 @@
             self._servers.add(server)
 
 
-def make_relay_handler(loop, gate, on_fault):
-    """Make the handler of one link's requests.
+def make_relay_handler(loop, admission_controller, on_fault):
+    """Create the handler for the requests of one link.
 
     :param loop: the node's loop.
-    :param gate: the :class:`~camphorshelf_relay.gate.Gate`.
-    :param on_fault: takes the exception when a request ends in one.
+    :param admission_controller: the
+        :class:`~camphorshelf_relay.admissioncontroller.AdmissionController`.
+    :param on_fault: called with the exception when a request ends in one.
     :return: the handler of :class:`~camphorshelf_core.messages.RelayMessage`.
     """
-    least_offset = None
+    min_offset = None
 
     def handle(message, reply):
-        nonlocal least_offset
+        nonlocal min_offset
         offset = loop.now() - message.sent_at
-        if least_offset is None or offset < least_offset:
-            least_offset = offset
-        # Bytes that a cut or a suspended host held up arrive seconds later with the times of
-        # when they were sent: their callers are gone, and the target would work for nobody.
-        held_up = offset - least_offset
+        if min_offset is None or offset < min_offset:
+            min_offset = offset
+        # Messages delayed by a network partition or a suspended host can arrive seconds late with
+        # the remaining time of when they were sent. Without this correction the target would work
+        # for callers that have given up. The smallest offset seen on the link stands for no delay,
+        # because the two hosts' clocks differ.
+        delay_s = offset - min_offset
         message = message._replace(
-            left_s=message.left_s - held_up, objective_s=message.objective_s - held_up
+            left_s=message.left_s - delay_s, objective_s=message.objective_s - delay_s
         )
-        if message.left_s < _LEAST_SECONDS:
-            reply(_decline(Code.DEADLINE_UNREACHABLE, "it was held up on the way", Ran.NOT_RUN))
+        if message.left_s < _MIN_REMAINING_SECONDS:
+            reply(
+                _decline(
+                    Code.DEADLINE_UNREACHABLE,
+                    "the request was delayed on its way to the target's node",
+                    Ran.NOT_RUN,
+                )
+            )
             return None
         try:
-            return gate.run(message, reply)
+            return admission_controller.submit(message, reply)
         except Exception as error:
-            # The peer would wait until the deadline for an answer that never comes.
+            # Without a reply the peer would wait until the deadline.
             on_fault(error)
-            reason = f"a fault inside the target's node: {type(error).__name__}"
+            reason = f"internal error in the target's node: {type(error).__name__}"
             reply(_decline(Code.INTERNAL, reason, Ran.OUTCOME_UNKNOWN))
             return None
 
     return handle
 
 
-def make_link_handlers(loop, gate, on_fault, others):
-    """Make the function that makes the handlers of each new link.
+def make_link_handlers(loop, admission_controller, on_fault, others):
+    """Create a function that creates the message handlers of each new link.
 
     :param loop: the node's loop.
-    :param gate: the :class:`~camphorshelf_relay.gate.Gate`.
-    :param on_fault: takes the exception when a request ends in one.
-    :param others: handlers by type of message that keep nothing about their link.
-    :return: a function without arguments that gives a dict of handlers.
+    :param admission_controller: the
+        :class:`~camphorshelf_relay.admissioncontroller.AdmissionController`.
+    :param on_fault: called with the exception when a request ends in one.
+    :param others: a dict from message type to handler, for handlers without state per link.
+    :return: a function without arguments that returns a dict of handlers.
     """
-    return lambda: {RelayMessage: make_relay_handler(loop, gate, on_fault), **others}
+    return lambda: {
+        RelayMessage: make_relay_handler(loop, admission_controller, on_fault),
+        **others,
+    }
 
 
-def serve_questions(loop, address, limits, answer, on_fault, headers=_PLAIN):
-    """Answer simple HTTP requests, each by a function of its request.
+def serve_http(loop, address, limits, respond, on_fault, headers=_JSON_HEADERS):
+    """Listen for HTTP requests and answer each with the result of a function.
 
     :param loop: the node's loop.
-    :param address: where to listen.
-    :param limits: as for callers.
-    :param answer: takes a :class:`~camphorshelf_core.calls.Request`, gives status and body.
-    :param on_fault: takes the exception when a request ends in one.
-    :param headers: the headers of each answer.
+    :param address: the :class:`~camphorshelf_relay.settings.Endpoint` to listen on.
+    :param limits: the limits of a connection, as for callers.
+    :param respond: called with a :class:`~camphorshelf_core.calls.Request`; returns the status and
+        the body of the response.
+    :param on_fault: called with the exception when a request ends in one.
+    :param headers: the headers of each response.
     :return: None.
     """
 
     def handle(exchange):
-        status, body = answer(exchange.request)
+        status, body = respond(exchange.request)
         exchange.answer(Response(status, headers, body))
 
     def accept(stream, _peer):
--- a/packages/relay/src/camphorshelf_relay/metrics.py
+++ b/packages/relay/src/camphorshelf_relay/metrics.py
@@ -1,78 +1,80 @@
-"""Counters, gauges and latency histograms, read by OpenTelemetry when somebody pulls them.
+"""Counters, gauges and latency histograms, exported through OpenTelemetry on each scrape.
 
-Counts stand in plain numbers where they arise and are observed at each pull; only latencies are
-recorded one by one. OpenTelemetry is imported at the first pull: a node that starts under load
-needs the import's processor time for callers.
+Components keep their counts in plain dictionaries and numbers, which are read on each scrape. Only
+latencies are recorded one by one. OpenTelemetry is imported on the first scrape, because a node
+that starts under load needs the CPU time of the import for its callers.
 """
 
 from collections import deque
 
 CONTENT_TYPE = (b"content-type", b"text/plain; version=0.0.4; charset=utf-8")
-# From what a node adds by itself up to the longest time that a caller waits.
-_BUCKETS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
-# Routes come and go with configurations; a series for each that ever was would only grow.
+# Upper bounds of the histogram buckets, from the latency that a node itself adds up to the longest
+# time that a caller waits.
+_BUCKET_SECONDS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
+# Routes come and go with configurations. Without a limit, the number of series would only grow.
 _MAX_ROUTES = 100
-_OTHER = "other"
-# Latencies that are kept until the first pull; bounds the memory of a node that is never read.
-_KEPT_DURATIONS = 2_000
+_OTHER_ROUTE = "other"
+# Latencies buffered until the first scrape; limits the memory of a node that is never scraped.
+_MAX_BUFFERED_DURATIONS = 2_000
 
 
 class Metrics:
-    """What a node tells of itself in numbers."""
+    """The metrics of one node."""
 
     def __init__(self):
         self._meter = None
-        self._undefined = []
+        self._pending_instruments = []
         self._requests = {}
         self._routes = set()
-        self._durations = _Durations(
+        self._request_durations = _DurationHistogram(
             "camphorshelf.request.duration",
-            "From a request's arrival to its answer, by route.",
+            "Time from a request's arrival to its response, by route.",
         )
-        self._runs = _Durations(
+        self._target_durations = _DurationHistogram(
             "camphorshelf.target.duration",
-            "Time at the target beside the node, by phase (wait or run).",
+            "Time at the local target, by phase (wait or run).",
         )
-        self.count(
+        self.add_counter(
             "requests",
             "Requests of callers, by route and outcome.",
             self._requests,
             "route outcome",
         )
 
-    def note_request(self, route, outcome, seconds):
-        """Count a request of a caller.
+    def record_request(self, route, outcome, seconds):
+        """Record a caller's request.
 
-        :param route: its route's name, empty for none.
-        :param outcome: the status of a target's answer or the name of a result code.
-        :param seconds: from its arrival to its answer.
+        :param route: the name of its route, empty if it has none.
+        :param outcome: the HTTP status of a target's response, or the name of a result code.
+        :param seconds: the time from its arrival to its response, in seconds.
         :return: None.
         """
         if route not in self._routes:
             if len(self._routes) >= _MAX_ROUTES:
-                route = _OTHER
+                route = _OTHER_ROUTE
             self._routes.add(route)
         key = route, outcome
         self._requests[key] = self._requests.get(key, 0) + 1
-        self._durations.record(seconds, {"route": route})
+        self._request_durations.record(seconds, {"route": route})
 
-    def note_run(self, waited_s, ran_s):
-        """Count a request that the target beside the node answered.
+    def record_run(self, waited_s, ran_s):
+        """Record a request that the local target answered.
 
-        :param waited_s: its time in the queue.
-        :param ran_s: its time at the target.
+        :param waited_s: the time in the queue, in seconds.
+        :param ran_s: the time at the target, in seconds.
         :return: None.
         """
-        self._runs.record(waited_s, {"phase": "wait"})
-        self._runs.record(ran_s, {"phase": "run"})
+        self._target_durations.record(waited_s, {"phase": "wait"})
+        self._target_durations.record(ran_s, {"phase": "run"})
 
-    def count(self, name, description, counts, labels):
-        """Tell counts that are kept elsewhere.
+    def add_counter(self, name, description, counts, labels):
+        """Add a counter whose values are kept elsewhere.
 
-        :param name: the counter's name behind ``camphorshelf.``.
-        :param description: what it tells, in a sentence.
-        :param counts: a dict, live, from a label's value (or a tuple of them) to a number.
-        :param labels: the labels' names, separated by spaces.
+        :param name: the counter's name without the prefix ``camphorshelf.``.
+        :param description: one sentence for the exported help text.
+        :param counts: a dict from the label's value (or a tuple of values) to a number; it is read
+            on each scrape.
+        :param labels: the names of the labels, separated by spaces.
         :return: None.
         """
         names = labels.split()
@@ -87,14 +89,14 @@
                 f"camphorshelf.{name}", [observe], description=description
             )
 
-        self._undefined.append(define)
+        self._pending_instruments.append(define)
 
-    def watch(self, name, description, read):
-        """Tell a number that goes both ways.
+    def add_gauge(self, name, description, read):
+        """Add a gauge.
 
-        :param name: the gauge's name behind ``camphorshelf.``.
-        :param description: what it tells, in a sentence.
-        :param read: gives the number of this moment.
+        :param name: the gauge's name without the prefix ``camphorshelf.``.
+        :param description: one sentence for the exported help text.
+        :param read: returns the current value; it is called on each scrape.
         :return: None.
         """
 
@@ -105,43 +107,43 @@
                 description=description,
             )
 
-        self._undefined.append(define)
+        self._pending_instruments.append(define)
 
     def render(self):
-        """Read everything.
+        """Render all metrics for a scrape.
 
-        :return: Prometheus' text form, as bytes.
+        :return: the metrics in the Prometheus text format, as bytes.
         """
         from opentelemetry.metrics import Observation
         from prometheus_client import REGISTRY, generate_latest
 
         if self._meter is None:
             self._meter = _make_meter()
-            self._durations.define(self._meter)
-            self._runs.define(self._meter)
-        undefined, self._undefined = self._undefined, []
-        for define in undefined:
+            self._request_durations.define(self._meter)
+            self._target_durations.define(self._meter)
+        pending, self._pending_instruments = self._pending_instruments, []
+        for define in pending:
             define(self._meter, Observation)
         return generate_latest(REGISTRY)
 
 
-class _Durations:
-    """A histogram that keeps the last durations until there is a meter to record them."""
+class _DurationHistogram:
+    """A histogram that buffers the latest durations until there is a meter to record them."""
 
     def __init__(self, name, description):
         self._name = name
         self._description = description
-        self._kept = deque(maxlen=_KEPT_DURATIONS)
-        self.record = self._keep
+        self._buffer = deque(maxlen=_MAX_BUFFERED_DURATIONS)
+        self.record = self._append_to_buffer
 
     def define(self, meter):
         histogram = meter.create_histogram(self._name, unit="s", description=self._description)
         self.record = histogram.record
-        while self._kept:
-            self.record(*self._kept.popleft())
+        while self._buffer:
+            self.record(*self._buffer.popleft())
 
-    def _keep(self, seconds, labels):
-        self._kept.append((seconds, labels))
+    def _append_to_buffer(self, seconds, labels):
+        self._buffer.append((seconds, labels))
 
 
 def _make_meter():
@@ -149,7 +151,7 @@
     from opentelemetry.sdk.metrics import AlwaysOffExemplarFilter, MeterProvider
     from opentelemetry.sdk.metrics.view import ExplicitBucketHistogramAggregation, View
 
-    aggregation = ExplicitBucketHistogramAggregation(_BUCKETS)
+    aggregation = ExplicitBucketHistogramAggregation(_BUCKET_SECONDS)
     provider = MeterProvider(
         [PrometheusMetricReader(disable_target_info=True, scope_info_enabled=False)],
         views=[View(instrument_name="camphorshelf.*.duration", aggregation=aggregation)],
--- a/packages/relay/src/camphorshelf_relay/node.py
+++ b/packages/relay/src/camphorshelf_relay/node.py
@@ -1,4 +1,4 @@
-"""One node: its loop, its listeners, its controllers, and how it stops."""
+"""One node process: creates its components, and starts, reloads and stops them."""
 
 import gc
 import os
@@ -14,60 +14,60 @@
 from camphorshelf_core.warmup import WarmUp
 from camphorshelf_node.loop import Loop
 
+from .admissioncontroller import AdmissionController
 from .configkeeper import ConfigKeeper
-from .crashes import CrashWatch
+from .crashes import CrashTracker
 from .discovery import Discovery
 from .eventlog import EventLog
-from .gate import Gate
 from .listeners import (
     CallerListener,
+    CurrentLimits,
     LinkListener,
-    LiveLimits,
     make_link_handlers,
-    serve_questions,
+    serve_http,
 )
 from .metrics import CONTENT_TYPE, Metrics
-from .nodemetrics import NodeParts, watch_node
+from .nodemetrics import MetricSources, register_node_metrics
 from .peers import Peers
 from .router import Router
-from .settings import Dialect
+from .settings import HeaderCodec
 from .target import Target
 
-# Callers are told to go elsewhere by two failed questions, a second apart; until then they still
-# come, and are served.
-_LEAVING_SECONDS = 2.6
-# The target goes on without its node. It is sent work meanwhile, so that a rolling restart costs a
-# service the time of a start and not that of a stop.
-_TARGET_LEAVING_SECONDS = 2.0
-# Ends itself so long before it would be killed, so that the last answers are out.
-_SPARE_GRACE_SECONDS = 0.4
+# Callers notice that a stopping node is not ready by two failed readiness checks, one second apart.
+# Until then they still send requests, which are served.
+_CALLER_DRAIN_SECONDS = 2.6
+# The target outlives its node, so it still gets work for this long after SIGTERM. A rolling restart
+# then costs a service only the time of the start, not that of the stop.
+_TARGET_DRAIN_SECONDS = 2.0
+# The node exits this long before it would be killed, so that the last responses are sent.
+_EXIT_MARGIN_SECONDS = 0.4
 _STOP_POLL_SECONDS = 0.05
-# Callers whose requests are under way get so long for their answers when the target's runs do not
-# end.
+# Time reserved for callers' requests in progress when requests at the target do not end.
 _LAST_CALLERS_SECONDS = 1.0
-# Short against the windows over which the settings' bounds hold.
+# Short compared with the time windows of the limits in the settings.
 _RELOAD_SECONDS = 3.0
-# A node whose peers are all away is better than none.
+# A node without any reachable peer reports that it is ready after this time, because one node is
+# better than none.
 _ALONE_SECONDS = 2.0
-_YOUNG_OBJECTS = 10_000
+_GC_THRESHOLD_OBJECTS = 10_000
 _READY = (200, b'{"ready":true}')
 
 
-class Ports(NamedTuple):
-    """What the adapter provides: the store's client, and formats as plain functions.
+class PlatformAdapter(NamedTuple):
+    """Factories and functions that connect a node to the platform's interfaces.
 
-    :param store: makes the store's client from a loop and its address.
-    :param dialect: a :class:`~camphorshelf_relay.settings.Dialect`.
-    :param readers: the :class:`~camphorshelf_relay.configkeeper.DocumentReaders`.
-    :param document_table: the store's table that the document lies in.
-    :param document_key: its key there.
-    :param answer_target: takes a call of the target, the node's :class:`Target` and its log, and
-        gives status and body.
-    :param read_settings: reads the settings again; None when they are not good.
+    :param store: creates the store's client from a loop and an address.
+    :param header_codec: a :class:`~camphorshelf_relay.settings.HeaderCodec`.
+    :param readers: the :class:`~camphorshelf_relay.configsync.DocumentReaders`.
+    :param document_table: the store's table that holds the configuration document.
+    :param document_key: the key of the document in that table.
+    :param answer_target: takes a :class:`~camphorshelf_core.calls.Request` of the target, the
+        node's :class:`Target` and its log, and returns the status and the body of the response.
+    :param read_settings: reads the settings file again; returns None if it is invalid.
     """
 
     store: object
-    dialect: Dialect
+    header_codec: HeaderCodec
     readers: object
     document_table: str
     document_key: str
@@ -76,19 +76,19 @@
 
 
 class Node(Component):
-    """Everything that runs in one node process.
+    """The component that owns all others of a node process.
 
     :param settings: the :class:`~camphorshelf_relay.settings.NodeSettings`.
-    :param ports: the :class:`Ports`.
-    :param started_at: when the process started, on the loop's clock; None for now.
+    :param platform: the :class:`PlatformAdapter`.
+    :param started_at: when the process started, in seconds on the loop's clock; None for now.
     """
 
     channel = "node"
 
-    def __init__(self, settings, ports, started_at=None):
+    def __init__(self, settings, platform, started_at=None):
         super().__init__()
         self._settings = settings
-        self._ports = ports
+        self._platform = platform
         self._random = random.Random(os.urandom(8))
         self._stopping = False
         loop = self._loop = Loop().register(self)
@@ -97,38 +97,44 @@
         self._started_at = loop.now()
         process_started_at = self._started_at if started_at is None else started_at
         self._admission = AdmissionQueue(warm_up=WarmUp(process_started_at))
-        self._crashes = CrashWatch(loop, settings.name, log)
-        self._peers = Peers(loop, settings, self._describe, log, self._random)
+        self._crashes = CrashTracker(loop, settings.name, log)
+        self._peers = Peers(loop, settings, self._own_status, log, self._random)
         self._target = Target(
             loop,
             settings,
-            ports.dialect,
+            platform.header_codec,
             self._admission,
             log,
             on_change=self._peers.tell,
-            on_crash=self._crashes.note_crash,
+            on_crash=self._crashes.record_crash,
         )
-        self._gate = Gate(
-            loop, settings, ports.dialect, self._admission, self._target, self._crashes, log
+        self._admission_controller = AdmissionController(
+            loop,
+            settings,
+            platform.header_codec,
+            self._admission,
+            self._target,
+            self._crashes,
+            log,
         )
-        store = ports.store(loop, settings.addresses.store)
+        store = platform.store(loop, settings.addresses.store)
         self._config = ConfigKeeper(
-            loop, settings, store, self._peers, ports.readers, self._random, log
+            loop, settings, store, self._peers, platform.readers, self._random, log
         )
         self._discovery = Discovery(loop, settings, store, self._peers, self._random, log)
         self._discovery.on_done = self._config.begin_among
         self._router = Router(
             loop,
             settings,
-            ports.dialect,
+            platform.header_codec,
             self._config,
             self._peers,
-            self._gate,
+            self._admission_controller,
             self._own_view,
             self._random,
             log,
         )
-        limits = LiveLimits(self._config)
+        limits = CurrentLimits(self._config)
         addresses = settings.addresses
         self._callers = CallerListener(
             loop,
@@ -139,20 +145,23 @@
             self._router.may_overlap,
         )
         handlers = make_link_handlers(
-            loop, self._gate, log.fault, {ConfigRequestMessage: self._config.answer_peer}
+            loop,
+            self._admission_controller,
+            log.fault,
+            {ConfigRequestMessage: self._config.answer_peer},
         )
         self._links = LinkListener(loop, addresses.links, handlers)
-        self._questions = (
+        self._http_endpoints = (
             (addresses.readiness, self._answer_readiness),
             (addresses.heartbeats, self._answer_target),
         )
         self._limits = limits
         self._metrics = Metrics()
-        parts = NodeParts(
+        sources = MetricSources(
             loop,
             self._target,
             self._admission,
-            self._gate,
+            self._admission_controller,
             self._router,
             self._peers,
             self._config,
@@ -161,19 +170,19 @@
             log,
             lambda: self.ready,
         )
-        watch_node(self._metrics, parts)
-        self._peers.on_status = self._hear
+        register_node_metrics(self._metrics, sources)
+        self._peers.on_status = self._on_peer_status
         self._config.evacuations.on_change(self._on_evacuation)
         self._config.on_change(self._on_config)
 
     @property
     def ready(self):
-        """Whether callers should come here."""
+        """Whether callers should send requests to this node."""
         if self._stopping or self._config.config is None:
             return False
-        heard = bool(self._peers.directory.live(self._loop.now()))
-        alone = self._loop.now() - self._started_at > _ALONE_SECONDS
-        return self._discovery.done or heard or alone
+        has_peers = bool(self._peers.directory.live(self._loop.now()))
+        is_alone = self._loop.now() - self._started_at > _ALONE_SECONDS
+        return self._discovery.done or has_peers or is_alone
 
     @handler("started", channel="*")
     def _on_started(self, _manager):
@@ -182,27 +191,27 @@
         signal.signal(signal.SIGHUP, self._on_sighup)
         self._callers.start()
         self._links.start()
-        for address, answer in self._questions:
-            serve_questions(self._loop, address, self._limits, answer, self._log.fault)
+        for address, respond in self._http_endpoints:
+            serve_http(self._loop, address, self._limits, respond, self._log.fault)
         if self._settings.addresses.metrics is not None:
             self._serve_metrics()
         self._peers.start()
-        self._config.start(self._ports.document_table, self._ports.document_key)
+        self._config.start(self._platform.document_table, self._platform.document_key)
         self._discovery.start()
-        # The file may change without a signal.
-        self._loop.call_every(_RELOAD_SECONDS, lambda: self._reload(asked=False))
+        # The settings file may be changed without a SIGHUP.
+        self._loop.call_every(_RELOAD_SECONDS, lambda: self._reload(is_requested=False))
         self._log.notable("start", service=self._settings.service, domain=self._settings.domain)
-        keep_libraries_out_of_collections()
+        exclude_imports_from_gc()
 
     def _serve_metrics(self):
-        def answer(_request):
+        def respond(_request):
             return 200, self._metrics.render()
 
         address = self._settings.addresses.metrics
         headers = (CONTENT_TYPE,)
-        serve_questions(self._loop, address, self._limits, answer, self._log.fault, headers)
+        serve_http(self._loop, address, self._limits, respond, self._log.fault, headers)
 
-    def _describe(self):
+    def _own_status(self):
         target, admission = self._target, self._admission
         record = target.record
         return HostStatus(
@@ -225,18 +234,18 @@
             lacks_store_access=self._config.lacks_store_access,
             revision=0,
             repeat_s=0.0,
-            crashes=self._crashes.told,
+            crashes=self._crashes.recent_crashes,
             start_wait_s=round(admission.warm_up.wait_s(self._loop.now()), 3),
             evacuation_version=self._config.evacuations.held.changed_at,
         )
 
-    def _hear(self, view, is_forwarded):
+    def _on_peer_status(self, view, is_forwarded):
         self._config.hear(view, is_forwarded)
-        self._crashes.hear(view.status.host, view.status.crashes)
+        self._crashes.merge_remote(view.status.host, view.status.crashes)
 
     def _own_view(self):
         view = HostView()
-        view.status = self._describe()
+        view.status = self._own_status()
         view.heard_at = self._loop.now()
         return view
 
@@ -244,9 +253,9 @@
         self._target.configure(config.services.get(self._settings.service))
         self._peers.tell_version(self._config.reach)
 
-    def _on_evacuation(self, reach):
-        self._target.evacuate(self._settings.domain in self._config.evacuations.held.domains)
-        self._peers.tell_version(reach)
+    def _on_evacuation(self, announcement_scope):
+        self._target.set_evacuated(self._settings.domain in self._config.evacuations.held.domains)
+        self._peers.tell_version(announcement_scope)
 
     def _answer_readiness(self, _request):
         if self.ready:
@@ -254,21 +263,22 @@
         return 503, b'{"ready":false}'
 
     def _answer_target(self, request):
-        return self._ports.answer_target(request, self._target, self._log)
+        return self._platform.answer_target(request, self._target, self._log)
 
     def _on_sighup(self, _number, _frame):
         self._loop.interrupt(self._reload)
 
-    def _reload(self, asked=True):
-        settings = self._ports.read_settings()
+    def _reload(self, is_requested=True):
+        settings = self._platform.read_settings()
         if settings is None:
             self._log.notable("reload_failed")
             return
         before = self._settings
-        if not asked and settings == before:
+        if not is_requested and settings == before:
             return
         self._log.notable("reload", changed=settings != before)
-        # A process keeps its sockets, its name and its target for its life; the bounds change.
+        # Only the limits can change at runtime. A process keeps its sockets, its name and its
+        # target until it exits.
         self._settings = settings._replace(
             name=before.name,
             domain=before.domain,
@@ -276,51 +286,51 @@
             addresses=before.addresses,
         )
         self._router.take_settings(self._settings)
-        self._target.take_settings(self._settings)
+        self._target.apply_settings(self._settings)
 
     def _on_sigterm(self, _number, _frame):
-        # circuits would raise SystemExit in a handler here, which leaves its loop spinning
-        # and deaf; the loop itself ends the node instead.
+        # The loop itself ends the node. With circuits' own signal handling, SystemExit would be
+        # raised inside an event handler, after which its loop spins without handling events.
         if not self._stopping:
             self._stopping = True
-            self._loop.interrupt(self._leave)
+            self._loop.interrupt(self._shut_down)
 
-    def _leave(self):
+    def _shut_down(self):
         self._log.notable(
             "stop", running=self._admission.running, callers=self._callers.connections
         )
-        latest = self._loop.now() + self._settings.grace_s - _SPARE_GRACE_SECONDS
-        self._gate.end_work_by(latest)
-        self._loop.call_later(_TARGET_LEAVING_SECONDS, self._target.stop)
-        self._loop.call_later(_LEAVING_SECONDS, lambda: self._finish_callers(latest))
-
-    def _finish_callers(self, latest):
-        # What runs at the target makes its own calls through this node.
-        if self._admission.running and self._loop.now() < latest - _LAST_CALLERS_SECONDS:
-            self._loop.call_later(_STOP_POLL_SECONDS, lambda: self._finish_callers(latest))
+        exit_at = self._loop.now() + self._settings.grace_s - _EXIT_MARGIN_SECONDS
+        self._admission_controller.set_shutdown_time(exit_at)
+        self._loop.call_later(_TARGET_DRAIN_SECONDS, self._target.stop)
+        self._loop.call_later(_CALLER_DRAIN_SECONDS, lambda: self._finish_callers(exit_at))
+
+    def _finish_callers(self, exit_at):
+        # Requests that run at the target may send requests of their own through this node.
+        if self._admission.running and self._loop.now() < exit_at - _LAST_CALLERS_SECONDS:
+            self._loop.call_later(_STOP_POLL_SECONDS, lambda: self._finish_callers(exit_at))
             return
         self._callers.finish()
-        self._end_when_idle(latest)
+        self._exit_when_idle(exit_at)
 
-    def _end_when_idle(self, latest):
+    def _exit_when_idle(self, exit_at):
         busy = self._callers.busy or self._links.busy or self._admission.running
-        if busy and self._loop.now() < latest:
-            self._loop.call_later(_STOP_POLL_SECONDS, lambda: self._end_when_idle(latest))
+        if busy and self._loop.now() < exit_at:
+            self._loop.call_later(_STOP_POLL_SECONDS, lambda: self._exit_when_idle(exit_at))
             return
         self._log.notable("stopped", idle=not busy)
         self._log.flush()
         self.stop()
 
 
-def keep_libraries_out_of_collections():
-    """Collect garbage from now on, and only among what is made from now on.
+def exclude_imports_from_gc():
+    """Enable garbage collection, restricted to objects that are created from now on.
 
-    What the libraries made at import lives as long as the process; looking through it at each full
-    collection would stop every request for some 20 ms. The little garbage among it isn't worth the
-    collection that finds it.
+    The objects created while importing live as long as the process. Traversing them in each full
+    collection would block all requests for about 20 ms. They contain so little garbage that even
+    one collection of them isn't worthwhile.
 
     :return: None.
     """
     gc.freeze()
-    gc.set_threshold(_YOUNG_OBJECTS, 10, 10)
+    gc.set_threshold(_GC_THRESHOLD_OBJECTS, 10, 10)
     gc.enable()
--- a/packages/relay/src/camphorshelf_relay/nodemetrics.py
+++ b/packages/relay/src/camphorshelf_relay/nodemetrics.py
@@ -1,28 +1,29 @@
-"""Which numbers a node tells of its parts."""
+"""Registers the metrics of a node's components."""
 
 from typing import NamedTuple
 
 
-class NodeParts(NamedTuple):
-    """The parts of a node that metrics are read from.
+class MetricSources(NamedTuple):
+    """The components of a node that metrics are read from.
 
-    :param loop: its loop.
-    :param target: its :class:`~camphorshelf_relay.target.Target`.
-    :param admission: its :class:`~camphorshelf_core.admissionqueue.AdmissionQueue`.
-    :param gate: its :class:`~camphorshelf_relay.gate.Gate`.
-    :param router: its :class:`~camphorshelf_relay.router.Router`.
-    :param peers: its :class:`~camphorshelf_relay.peers.Peers`.
-    :param config: its :class:`~camphorshelf_relay.configkeeper.ConfigKeeper`.
-    :param callers: its :class:`~camphorshelf_relay.listeners.CallerListener`.
+    :param loop: the :class:`~camphorshelf_node.loop.Loop`.
+    :param target: the :class:`~camphorshelf_relay.target.Target`.
+    :param admission: the :class:`~camphorshelf_core.admissionqueue.AdmissionQueue`.
+    :param admission_controller: the
+        :class:`~camphorshelf_relay.admissioncontroller.AdmissionController`.
+    :param router: the :class:`~camphorshelf_relay.router.Router`.
+    :param peers: the :class:`~camphorshelf_relay.peers.Peers`.
+    :param config: the :class:`~camphorshelf_relay.configsync.ConfigSynchronizer`.
+    :param callers: the :class:`~camphorshelf_relay.listeners.CallerListener`.
     :param store: the store's client.
-    :param log: its :class:`~camphorshelf_relay.eventlog.EventLog`.
-    :param is_ready: tells whether callers should come.
+    :param log: the :class:`~camphorshelf_relay.eventlog.EventLog`.
+    :param is_ready: returns whether callers should send requests to this node.
     """
 
     loop: object
     target: object
     admission: object
-    gate: object
+    admission_controller: object
     router: object
     peers: object
     config: object
@@ -32,48 +33,78 @@
     is_ready: object
 
 
-def watch_node(metrics, parts):
-    """Let a node's parts be observed.
+def register_node_metrics(metrics, sources):
+    """Register the metrics of a node's components.
 
-    :param metrics: the :class:`~camphorshelf_relay.metrics.Metrics`.
-    :param parts: the :class:`NodeParts`.
+    :param metrics: the :class:`~camphorshelf_relay.metrics.Metrics` to add them to.
+    :param sources: the :class:`MetricSources`.
     :return: None.
     """
-    target, admission = parts.target, parts.admission
-    parts.router.on_outcome = metrics.note_request
-    parts.gate.on_answer = metrics.note_run
-    count, watch = metrics.count, metrics.watch
-    count(
+    target, admission = sources.target, sources.admission
+    sources.router.on_outcome = metrics.record_request
+    sources.admission_controller.on_response = metrics.record_run
+    add_counter, add_gauge = metrics.add_counter, metrics.add_gauge
+    add_counter(
         "offers",
         "Requests offered to the target's node, by outcome.",
-        parts.gate.counts,
+        sources.admission_controller.counts,
         "outcome",
     )
-    count("retries", "Retries by service and verdict.", parts.router.retries, "service verdict")
-    count("store.calls", "Calls to the store.", parts.store.counts, "kind outcome")
-    count("statuses", "Statuses of hosts.", parts.peers.counts, "outcome")
-    count("datagrams", "Datagrams to other hosts.", parts.peers.datagram_counts, "outcome")
-    count(
+    add_counter(
+        "retries", "Retries by service and verdict.", sources.router.retries, "service verdict"
+    )
+    add_counter("store.calls", "Calls to the store.", sources.store.counts, "kind outcome")
+    add_counter("statuses", "Statuses of hosts.", sources.peers.counts, "outcome")
+    add_counter("datagrams", "Datagrams to other hosts.", sources.peers.datagram_counts, "outcome")
+    add_counter(
         "load.probes",
         "Probes of the load of other hosts.",
-        parts.peers.prober.counts,
+        sources.peers.prober.counts,
         "outcome",
     )
-    count("target.contacts", "Probes and connections.", target.counts, "kind")
-    count("target.strays", "Answers that belong to no request.", target.strays, "place")
-    count("log.dropped", "Log lines left out.", parts.log.counts, "reason")
-    watch("target.running", "Requests that run at the target.", lambda: admission.running)
-    watch("target.queued", "Requests that wait for a slot.", lambda: admission.queued)
-    watch("target.limit", "Requests that may run at once.", lambda: admission.limit)
-    watch("target.slowness", "How long work takes, 1 as usual.", lambda: target.slowness)
-    watch("target.failing", "Share of failed requests.", lambda: target.failing)
-    watch("target.accepting", "1 while work is let in.", lambda: int(target.accepting))
-    watch("target.cold", "1 while starts are limited.", lambda: int(target.is_limited))
-    evacuations = parts.config.evacuations
-    watch("evacuated", "Evacuated failure domains.", lambda: len(evacuations.held.domains))
-    watch("ready", "1 while callers should come.", lambda: int(parts.is_ready()))
-    watch("config.version", "The configuration in force.", lambda: parts.config.version)
-    watch("store.age", "Seconds since the store answered.", lambda: parts.config.store_age_s)
-    watch("callers", "Connections of callers.", lambda: parts.callers.connections)
-    live = parts.peers.directory.live
-    watch("hosts", "Other hosts heard lately.", lambda: len(live(parts.loop.now())))
+    add_counter(
+        "target.contacts", "Probes of the target and connections to it.", target.counts, "kind"
+    )
+    add_counter(
+        "target.strays", "Responses that belong to no request.", target.stray_counts, "place"
+    )
+    add_counter("log.dropped", "Dropped log lines.", sources.log.counts, "reason")
+    add_gauge("target.running", "Requests running at the target.", lambda: admission.running)
+    add_gauge("target.queued", "Requests waiting for a slot.", lambda: admission.queued)
+    add_gauge("target.limit", "Requests that may run at once.", lambda: admission.limit)
+    add_gauge(
+        "target.slowness",
+        "Duration of work relative to the usual duration, 1 as usual.",
+        lambda: target.slowness,
+    )
+    add_gauge("target.failing", "Share of failed requests.", lambda: target.failing)
+    add_gauge(
+        "target.accepting",
+        "1 while the target accepts requests.",
+        lambda: int(target.accepting),
+    )
+    add_gauge(
+        "target.cold",
+        "1 while the start of requests is limited.",
+        lambda: int(target.is_limited),
+    )
+    evacuations = sources.config.evacuations
+    add_gauge("evacuated", "Evacuated failure domains.", lambda: len(evacuations.held.domains))
+    add_gauge("ready", "1 while the node is ready for callers.", lambda: int(sources.is_ready()))
+    add_gauge(
+        "config.version",
+        "Version of the configuration in force.",
+        lambda: sources.config.version,
+    )
+    add_gauge(
+        "store.age",
+        "Seconds since the last response of the store.",
+        lambda: sources.config.store_age_s,
+    )
+    add_gauge("callers", "Connections of callers.", lambda: sources.callers.connections)
+    live = sources.peers.directory.live
+    add_gauge(
+        "hosts",
+        "Other hosts that were recently heard from.",
+        lambda: len(live(sources.loop.now())),
+    )
--- a/packages/relay/src/camphorshelf_relay/relay.py
+++ b/packages/relay/src/camphorshelf_relay/relay.py
@@ -31,8 +31,8 @@
         self._service = router.pick_part(route)
         self._facts = router.book.facts(route)
         self._arrived = exchange.received
-        wait_s = route.timeout_s if terms.wait_s is None else min(terms.wait_s, route.timeout_s)
-        elapsed_s = 0.0 if terms.wait_s is None else self._facts.elapsed_before(terms.wait_s)
+        wait_s = route.timeout_s if terms.timeout_s is None else min(terms.timeout_s, route.timeout_s)
+        elapsed_s = 0.0 if terms.timeout_s is None else self._facts.elapsed_before(terms.timeout_s)
         self._expires_at = self._arrived + wait_s
         self._objective_at = self._arrived + route.objective_s - elapsed_s
         self._late_policy = LatePolicy.QUEUE
--- a/packages/relay/src/camphorshelf_relay/router.py
+++ b/packages/relay/src/camphorshelf_relay/router.py
@@ -68,7 +68,7 @@
         :param exchange: the :class:`~camphorshelf_node.exchange.Exchange`.
         :return: None.
         """
-        terms = self._dialect.read_caller(exchange.request.headers)
+        terms = self._dialect.parse_caller(exchange.request.headers)
         if self._config.config is None:
             refusal = Refusal(
                 Code.NODE_STARTING,
@@ -137,7 +137,7 @@
         :return: a function that cancels it.
         """
         if address == self._own_address:
-            return self._gate.run(message, on_done)
+            return self._gate.submit(message, on_done)
         return self._peers.link(address).call(message, on_done)
 
     def note_request(self, service):
@@ -193,7 +193,7 @@
             retry_after_ms=refusal.retry_after_ms,
             **fields,
         )
-        status, headers = self._dialect.write_refusal(refusal, request_id)
+        status, headers = self._dialect.build_refusal(refusal, request_id)
         body = f"{refusal.code.value} {refusal.code.name}: {refusal.reason}\n".encode()
         exchange.answer(Response(status, headers, body))
 
@@ -214,7 +214,7 @@
         note = self.log.routine if went_well else self.log.notable
         note(
             outcome,
-            request=self._dialect.read_caller(exchange.request.headers).request_id,
+            request=self._dialect.parse_caller(exchange.request.headers).request_id,
             route=name,
             ms=round(seconds * 1000, 1),
             objective_ms=0 if route is None else round(route.objective_s * 1000),
--- a/packages/relay/src/camphorshelf_relay/settings.py
+++ b/packages/relay/src/camphorshelf_relay/settings.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start, in the project's own terms."""
+"""A node's settings and the interface to its platform, independent of the platform's formats."""
 
 from typing import NamedTuple
 
@@ -14,21 +14,21 @@
 
     @property
     def text(self):
-        """Both as ``ip:port``."""
+        """The endpoint as ``ip:port``."""
         return f"{self.ip}:{self.port}"
 
 
 class Addresses(NamedTuple):
-    """Where a node listens and whom it speaks to.
-
-    :param callers: requests of callers on this host.
-    :param readiness: the question whether callers should come here.
-    :param heartbeats: the heartbeats of the target beside the node.
-    :param links: links of other nodes.
-    :param datagrams: statuses of other nodes.
-    :param target: where the target beside the node takes requests.
-    :param store: the platform's store.
-    :param metrics: where counters and histograms are read; None for nowhere.
+    """The endpoints that a node listens on and connects to.
+
+    :param callers: listens for requests of callers on this host.
+    :param readiness: listens for readiness checks.
+    :param heartbeats: listens for heartbeats of the local target.
+    :param links: listens for links of other nodes.
+    :param datagrams: listens for datagrams of other nodes, such as their statuses.
+    :param target: the local target's endpoint for requests.
+    :param store: the endpoint of the platform's store.
+    :param metrics: listens for scrapes of the metrics; None to serve none.
     """
 
     callers: Endpoint
@@ -42,15 +42,15 @@
 
 
 class NodeSettings(NamedTuple):
-    """Everything that a node does not decide by itself.
+    """The settings of one node.
 
     :param name: the host's name.
-    :param domain: its failure domain.
-    :param service: the service of the target beside the node.
+    :param domain: the host's failure domain.
+    :param service: the service of the local target.
     :param addresses: the :class:`Addresses`.
-    :param retry: the :class:`~camphorshelf_core.retrybudget.RetryTerms` of every service.
-    :param grace_s: seconds from SIGTERM until the process is killed.
-    :param probes_per_s: the most health questions to the target, a second.
+    :param retry: the :class:`~camphorshelf_core.retrybudget.RetryLimits` of every service.
+    :param grace_s: the time from SIGTERM until the process is killed, in seconds.
+    :param probes_per_s: the largest number of health probes of the target per second.
     :param is_first_start: whether the whole system starts for the first time.
     :param warm_up: the :class:`~camphorshelf_core.warmup.WarmUpBounds` of every service.
     """
@@ -66,60 +66,69 @@
     warm_up: WarmUpBounds = WarmUpBounds()
 
 
-class CallerTerms(NamedTuple):
-    """What a caller says of its request.
+class CallerMetadata(NamedTuple):
+    """Metadata from the headers of a caller's request.
 
-    :param request_id: names this attempt of the caller.
-    :param wait_s: how long the caller waits; None when it does not say.
+    :param request_id: the caller's id of this attempt.
+    :param timeout_s: how long the caller waits, in seconds; None if it does not say.
     """
 
     request_id: str
-    wait_s: float | None
-
-
-class TargetWord(NamedTuple):
-    """What a target says of itself and of one request on an answer.
-
-    :param request_id: the request that it answers; empty when it does not say.
-    :param not_run: whether it vouches that the request did not run.
-    :param misleading: whether its status would tell the caller that the request did not run,
-        which the target does not vouch for.
-    :param instance: its id, where it says so.
-    :param running: requests that run there; None when it does not tell its load.
-    :param waiting: requests that wait inside it.
-    :param slots: requests that it works on at once.
-    :param slowness: how long work takes there now, 1.0 as usual; None when it does not tell.
-    :param idle_s: how long it keeps an idle connection; None when it does not say.
-    :param encoded: whether the body is not as the target's service made it.
-    :param signed: whether the answer bears the target's signature, as every success does.
-    :param cold_left_s: for how long it stays cold, 0.0 when it is warm; None when it doesn't say.
+    timeout_s: float | None
+
+
+class TargetMetadata(NamedTuple):
+    """Metadata from the headers of a target's response.
+
+    :param request_id: the id of the request that the target answers; empty if it is missing.
+    :param not_run: whether the target confirms that the request did not run.
+    :param falsely_implies_not_run: whether the status would tell the caller that the request did
+        not run although the target does not confirm that.
+    :param instance: the id of the target's process; empty if it is missing.
+    :param running: the number of requests that run at the target; None if it reports no load.
+    :param waiting: the number of requests queued inside the target; None if it reports no load.
+    :param slots: the number of requests that the target runs at once; None if it reports no load.
+    :param slowness: the duration of work at the target relative to the usual duration; None if it
+        is not reported.
+    :param keep_alive_s: how long the target keeps an idle connection open, in seconds; None if it
+        is not reported.
+    :param is_content_encoded: whether the response has a content encoding; the target's service
+        uses none.
+    :param is_signed: whether the response carries the target's signature, as all successful
+        responses do.
+    :param cold_left_s: for how many seconds the target stays cold, 0.0 if it is warm; None if it is
+        not reported.
     """
 
     request_id: str
     not_run: bool
-    misleading: bool
+    falsely_implies_not_run: bool
     instance: str
     running: int | None
     waiting: int | None
     slots: int | None
     slowness: float | None
-    idle_s: float | None
-    encoded: bool
-    signed: bool
+    keep_alive_s: float | None
+    is_content_encoded: bool
+    is_signed: bool
     cold_left_s: float | None = None
 
 
-class Dialect(NamedTuple):
-    """How callers and targets are spoken to; plain functions that the adapter provides.
+class HeaderCodec(NamedTuple):
+    """Functions that parse and build the platform's HTTP headers.
 
-    :param read_caller: takes the headers of a request and gives its :class:`CallerTerms`.
-    :param write_request: takes headers, seconds left, the target's instance and the service
-        beside the entry node, and gives the headers for the target.
-    :param read_target: takes status and headers of an answer and gives a :class:`TargetWord`.
-    :param write_refusal: takes a refusal and the request's id and gives status and headers.
+    :param parse_caller: takes the headers of a caller's request and returns its
+        :class:`CallerMetadata`.
+    :param build_request: takes the headers of a caller's request, the remaining seconds, the
+        target's instance and the service on the entry node's host, and returns the headers for the
+        target.
+    :param parse_target: takes the status and the headers of a target's response and returns its
+        :class:`TargetMetadata`.
+    :param build_refusal: takes a refusal and the request's id and returns the status and the
+        headers of the response.
     """
 
-    read_caller: object
-    write_request: object
-    read_target: object
-    write_refusal: object
+    parse_caller: object
+    build_request: object
+    parse_target: object
+    build_refusal: object
--- a/packages/relay/src/camphorshelf_relay/target.py
+++ b/packages/relay/src/camphorshelf_relay/target.py
@@ -1,39 +1,48 @@
-"""The target beside the node, watched closely: which process runs, its load and its failures.
+"""The local target: which process of it runs, its load and its failures.
 
-Only this node can reach the target, so only it can know the load of this moment, say "not run"
-and be right, and end all new work at one point when the target leaves.
+Only this node sends requests to the target. So only this node knows the target's current load, can
+say for certain that a request did not run, and can stop all new work at once when the target
+leaves.
 """
 
 from camphorshelf_core.instances import InstanceRecord
 from camphorshelf_core.routes import ServiceTerms
 
 from .healthprobe import HealthProbe, ProbeHandlers
-from .targetlink import TargetLink
+from .targetpool import TargetConnectionPool
 
+# Weight of a new outcome in the moving average of failures.
 _FAILURE_WEIGHT = 0.08
-# A share of failures halves within this time, so a target that gets no work for its failures is
-# tried again.
-_FAILURE_HALF_LIFE = 1.5
+# The failure share halves within this time. So a target that gets no work because of its failures
+# is tried again.
+_FAILURE_HALF_LIFE_SECONDS = 1.5
 
 
 def _do_nothing():
-    """Stands for nobody who wants to know."""
+    """Default callback."""
 
 
 class Target:
-    """What the node knows of its target, and the connections to it.
+    """The state of the local target, and the connections to it.
 
     :param loop: the node's loop.
     :param settings: the :class:`~camphorshelf_relay.settings.NodeSettings`.
-    :param dialect: how the target is spoken to.
+    :param header_codec: the :class:`~camphorshelf_relay.settings.HeaderCodec`.
     :param admission: the :class:`~camphorshelf_core.admissionqueue.AdmissionQueue`.
     :param log: the :class:`~camphorshelf_relay.eventlog.EventLog`.
-    :param on_change: told after every change that others may want to know of.
-    :param on_crash: told when the target's process has ended without a word.
+    :param on_change: called after each change that other hosts may have to know of.
+    :param on_crash: called when the target's process has ended without announcing it.
     """
 
     def __init__(
-        self, loop, settings, dialect, admission, log, on_change=_do_nothing, on_crash=_do_nothing
+        self,
+        loop,
+        settings,
+        header_codec,
+        admission,
+        log,
+        on_change=_do_nothing,
+        on_crash=_do_nothing,
     ):
         self._loop = loop
         self._settings = settings
@@ -41,28 +50,28 @@
         self._warm_up = admission.warm_up
         self._log = log
         self._record = InstanceRecord()
-        self._link = TargetLink(
-            loop, settings.addresses.target, dialect, self._note_dial, self._note_stray
+        self._pool = TargetConnectionPool(
+            loop, settings.addresses.target, header_codec, self._count_dial, self._record_stray
         )
         self._failing = 0.0
         self._failing_at = 0.0
         self._stopping = False
         self._is_configured = False
         self._is_evacuated = False
-        # What the target says of its speed includes its slow start.
-        self.tells_slowness = False
+        # A slowness that the target reports already includes the effect of its warm-up.
+        self.reports_slowness = False
         self.slowness = 1.0
-        self.strays = {"ahead": 0, "behind": 0, "idle": 0}
+        self.stray_counts = {"ahead": 0, "behind": 0, "idle": 0}
         self.on_change = on_change
         self._on_crash = on_crash
         handlers = ProbeHandlers(
-            on_answer=self._on_health,
-            on_lost=self.note_lost,
-            on_unreachable=self.note_unreachable,
+            on_response=self._on_probe_response,
+            on_lost=self.record_connection_lost,
+            on_unreachable=self.record_unreachable,
             is_down=lambda: self._record.down,
-            is_doubted=lambda: not self._warm_up.is_known(loop.now()),
+            is_cold_state_unknown=lambda: not self._warm_up.is_known(loop.now()),
         )
-        self._probe = HealthProbe(loop, settings, self._link, handlers)
+        self._probe = HealthProbe(loop, settings, self._pool, handlers)
         self.counts = self._probe.counts
         self.counts["connection"] = 0
 
@@ -72,137 +81,140 @@
         return self._record
 
     @property
-    def link(self):
-        """The :class:`~camphorshelf_relay.targetlink.TargetLink`."""
-        return self._link
+    def pool(self):
+        """The :class:`~camphorshelf_relay.targetpool.TargetConnectionPool`."""
+        return self._pool
 
     @property
     def accepting(self):
-        """Whether new work is let in."""
+        """Whether the target accepts new requests."""
         is_wanted = self._is_configured and not self._is_evacuated and not self._stopping
         return is_wanted and self._record.usable and self._admission.limit > 0
 
     @property
     def closed_reason(self):
-        """Why no work is let in, in one sentence."""
+        """Why the target accepts no new requests, in one sentence."""
         if self._is_evacuated:
             return "the target's failure domain is evacuated"
-        return "the target takes no work"
+        return "the target accepts no new requests"
 
     @property
     def is_limited(self):
-        """Whether requests are held back because the target is cold, or may be."""
+        """Whether the start of requests is limited because the target is or may be cold."""
         return self._warm_up.is_limited(self._loop.now())
 
     @property
     def warming_s(self):
-        """For how long the target is slow without saying so."""
-        return 0.0 if self.tells_slowness else self._record.warming_s(self._loop.now())
+        """For how many seconds the target remains slow without reporting its slowness."""
+        return 0.0 if self.reports_slowness else self._record.warming_s(self._loop.now())
 
     @property
     def failing(self):
-        """The share of recent requests that failed, fading with time."""
+        """The share of recent requests that failed, decaying with time."""
         age = self._loop.now() - self._failing_at
-        return self._failing * 0.5 ** (age / _FAILURE_HALF_LIFE)
+        return self._failing * 0.5 ** (age / _FAILURE_HALF_LIFE_SECONDS)
 
-    def take_settings(self, settings):
-        """Take changed bounds.
+    def apply_settings(self, settings):
+        """Install reloaded settings.
 
         :param settings: the :class:`~camphorshelf_relay.settings.NodeSettings`.
         :return: None.
         """
         self._settings = settings
-        self._probe.take_settings(settings)
+        self._probe.apply_settings(settings)
 
-    def configure(self, terms):
-        """Take what is configured for the target's service.
+    def configure(self, service_settings):
+        """Apply the configuration of the target's service.
 
-        :param terms: :class:`~camphorshelf_core.routes.ServiceTerms`, or None.
+        :param service_settings: the :class:`~camphorshelf_core.routes.ServiceSettings`, or None if
+            the service is not configured.
         :return: None.
         """
         self._is_configured = True
-        terms = terms or ServiceTerms(None)
-        rate = terms.cold_rate_per_s
-        self._warm_up.configure(rate, terms.cold_s, self._settings.warm_up, self._loop.now())
-        self._settle("configuration")
-        self._probe.configure(terms.health_path, may_be_cold=rate is not None)
+        service_settings = service_settings or ServiceTerms(None)
+        rate = service_settings.cold_rate_per_s
+        self._warm_up.configure(
+            rate, service_settings.cold_s, self._settings.warm_up, self._loop.now()
+        )
+        self._on_state_change("configuration")
+        self._probe.configure(service_settings.health_path, may_be_cold=rate is not None)
 
-    def evacuate(self, is_evacuated):
-        """Take in whether the target's failure domain is evacuated.
+    def set_evacuated(self, is_evacuated):
+        """Set whether the target's failure domain is evacuated.
 
         :param is_evacuated: whether it is.
         :return: None.
         """
         if is_evacuated != self._is_evacuated:
             self._is_evacuated = is_evacuated
-            self._settle("evacuation")
+            self._on_state_change("evacuation")
 
     def stop(self):
-        """Let no more work in; what runs goes on.
+        """Accept no new requests; running ones continue.
 
         :return: None.
         """
         self._stopping = True
-        self._settle("stopping")
+        self._on_state_change("stopping")
 
-    def beat(self, heartbeat):
-        """Take in a heartbeat of the target.
+    def handle_heartbeat(self, heartbeat):
+        """Process a heartbeat of the target.
 
         :param heartbeat: the :class:`~camphorshelf_core.instances.Heartbeat`.
-        :return: whether it was taken in.
+        :return: whether it was accepted; False if it is outdated or for another service.
         """
         if heartbeat.service != self._settings.service:
             self._log.notable("heartbeat_refused", instance=heartbeat.instance, reason="service")
             return False
         before = self._record.instance, self._record.leaving
         started_ms = self._record.started_ms
-        taken = self._record.beat(heartbeat, self._loop.now())
-        if taken:
-            self._note_announced(heartbeat, before[0], started_ms)
-        if taken and heartbeat.slots != self._admission.slots:
+        accepted = self._record.beat(heartbeat, self._loop.now())
+        if accepted:
+            self._update_warm_up(heartbeat, before[0], started_ms)
+        if accepted and heartbeat.slots != self._admission.slots:
             self._admission.resize(heartbeat.slots)
         if (self._record.instance, self._record.leaving) != before:
             if before[0] and before[0] != self._record.instance and not before[1]:
                 self._on_crash()
-            self._settle("heartbeat")
-        elif taken:
-            self._refresh()
-        return taken
+            self._on_state_change("heartbeat")
+        elif accepted:
+            self._update_admission()
+        return accepted
 
-    def leave(self, instance, started_ms):
-        """Take in that a process of the target goes for good.
+    def deregister(self, instance, started_ms):
+        """Process the announcement of one of the target's processes that it is leaving for good.
 
-        :param instance: its id.
-        :param started_ms: when it started, Unix milliseconds, or None.
+        :param instance: the id of the process.
+        :param started_ms: when it started, in Unix milliseconds, or None.
         :return: None.
         """
         if self._record.leave(instance, started_ms):
-            self._settle("farewell")
+            self._on_state_change("farewell")
 
-    def note_word(self, word):
-        """Take in what the target said on an answer.
+    def update_metadata(self, metadata):
+        """Update load and slowness from the headers of a response.
 
-        :param word: a :class:`~camphorshelf_relay.settings.TargetWord`.
+        :param metadata: a :class:`~camphorshelf_relay.settings.TargetMetadata`.
         :return: None.
         """
-        if word.running is None:
+        if metadata.running is None:
             return
         now = self._loop.now()
-        self._probe.note_load_told()
-        if word.slots and word.slots != self._admission.slots:
-            self._admission.resize(word.slots)
-        self.tells_slowness = word.slowness is not None
-        if word.slowness is not None and word.slowness != self.slowness:
-            slower = word.slowness > self.slowness * 1.3
-            self.slowness = self._admission.slowness = word.slowness
-            if slower:
+        self._probe.record_load_report()
+        if metadata.slots and metadata.slots != self._admission.slots:
+            self._admission.resize(metadata.slots)
+        self.reports_slowness = metadata.slowness is not None
+        if metadata.slowness is not None and metadata.slowness != self.slowness:
+            is_much_slower = metadata.slowness > self.slowness * 1.3
+            self.slowness = self._admission.slowness = metadata.slowness
+            if is_much_slower:
                 self._admission.shed_late(now)
             self.on_change()
 
-    def note_outcome(self, failed):
-        """Count a request that the target finished or failed.
+    def record_outcome(self, failed):
+        """Update the failure share with the outcome of one request.
 
-        :param failed: whether it failed there.
+        :param failed: whether the request failed at the target.
         :return: None.
         """
         value = 1.0 if failed else 0.0
@@ -210,16 +222,16 @@
         self._failing = share + _FAILURE_WEIGHT * (value - share)
         self._failing_at = self._loop.now()
 
-    def note_lost(self):
-        """Take in that a connection broke off: another process may run there by now.
+    def record_connection_lost(self):
+        """Record that a connection broke; the target's process may have been replaced.
 
         :return: None.
         """
         self._warm_up.note_replaced(self._loop.now())
-        self._probe.ask_if_doubted()
+        self._probe.probe_if_cold_state_unknown()
 
-    def note_unreachable(self):
-        """Take in that the target took no connection.
+    def record_unreachable(self):
+        """Record that the target accepts no connections or does not answer probes.
 
         :return: None.
         """
@@ -228,54 +240,57 @@
             if not self._record.leaving:
                 self._on_crash()
             self._record.seen_down()
-            self._settle("unreachable")
+            self._on_state_change("unreachable")
 
-    def note_other(self, instance):
-        """Take in that another process answers at the target's address.
+    def record_other_process(self, instance):
+        """Record that another process answers at the target's address.
 
-        :param instance: its id, empty when it was not named.
+        :param instance: the id of that process, or empty if it is unknown.
         :return: None.
         """
         self._record.seen_elsewhere(instance)
-        self.note_lost()
-        self._settle("another process")
+        self.record_connection_lost()
+        self._on_state_change("another process")
 
-    def _note_dial(self):
+    def _count_dial(self):
         self.counts["connection"] += 1
 
-    def _note_stray(self, request_id, place):
-        self.strays[place] += 1
+    def _record_stray(self, request_id, place):
+        self.stray_counts[place] += 1
         instance = self._record.instance
         self._log.notable("stray_answer", request=request_id, place=place, instance=instance)
 
-    def _note_announced(self, heartbeat, instance, started_ms):
+    def _update_warm_up(self, heartbeat, instance_before, started_ms_before):
         now = self._loop.now()
-        if (self._record.instance, self._record.started_ms) != (instance, started_ms):
+        if (self._record.instance, self._record.started_ms) != (
+            instance_before,
+            started_ms_before,
+        ):
             self._warm_up.note_replaced(now)
         self._warm_up.note_announced(heartbeat.warming_s, now)
         if self._warm_up.is_limited(now):
             self._admission.shed_late(now)
 
-    def _on_health(self, answered):
-        word = answered.word
+    def _on_probe_response(self, result):
+        metadata = result.metadata
         before = self._record.usable, self._record.instance
-        if answered.response.status == 200 and word.instance:
-            self._record.seen_healthy(word.instance)
+        if result.response.status == 200 and metadata.instance:
+            self._record.seen_healthy(metadata.instance)
         else:
-            self._record.seen_unhealthy(word.instance)
-        self._note_told(word, before[1])
-        self.note_word(word)
+            self._record.seen_unhealthy(metadata.instance)
+        self._update_cold_state(metadata, before[1])
+        self.update_metadata(metadata)
         if (self._record.usable, self._record.instance) != before:
-            self._settle("health")
+            self._on_state_change("health")
 
-    def _note_told(self, word, instance_before):
+    def _update_cold_state(self, metadata, instance_before):
         now = self._loop.now()
         if self._record.instance != instance_before:
             self._warm_up.note_replaced(now)
-        if word.instance and word.instance != self._record.instance:
+        if metadata.instance and metadata.instance != self._record.instance:
             return
         was_limited = self._warm_up.is_limited(now)
-        self._warm_up.note_told(word.cold_left_s, now)
+        self._warm_up.note_told(metadata.cold_left_s, now)
         if self._warm_up.is_limited(now):
             if not was_limited:
                 self._admission.shed_late(now)
@@ -284,8 +299,8 @@
             self._admission.dispatch(now)
             self.on_change()
 
-    def _settle(self, cause):
-        self._refresh()
+    def _on_state_change(self, cause):
+        self._update_admission()
         record = self._record
         self._log.notable(
             "target",
@@ -299,7 +314,7 @@
         )
         self.on_change()
 
-    def _refresh(self):
+    def _update_admission(self):
         now = self._loop.now()
         if self.accepting:
             if self._admission.closed:
--- a/packages/relay/src/camphorshelf_relay/targetconnection.py
+++ b/packages/relay/src/camphorshelf_relay/targetconnection.py
@@ -1,7 +1,7 @@
-"""One connection to the target beside the node; it carries one request at a time.
+"""One connection to the local target; it carries one request at a time.
 
-A connection that has done anything unexpected is closed, never kept: what it delivers later would
-be taken for the answer to another request.
+A connection that behaves in any unexpected way is closed instead of being reused: bytes that
+arrive on it later could be taken for the response to another request.
 """
 
 from collections import deque
@@ -13,16 +13,17 @@
 from camphorshelf_node.responsereader import Framing, ResponseError, ResponseReader
 
 _MAX_BODY_BYTES = 128 * 1024 * 1024
-# A second answer that is late comes behind few others on its connection.
+# Request ids remembered per connection, to recognise a late second response to one of them. Few
+# other responses come before such a one.
 _REMEMBERED_REQUESTS = 32
 
 
 class Origin(NamedTuple):
-    """How an answer was found on its connection.
+    """How a response was received on its connection.
 
-    :param framing: what ended its body: ``length``, ``chunked`` or ``close``.
+    :param framing: how the end of its body was determined: ``length``, ``chunked`` or ``close``.
     :param reused: whether the connection had carried another request before.
-    :param skipped: answers to other requests that came before it.
+    :param skipped: the number of responses to other requests that came before it.
     """
 
     framing: str
@@ -30,26 +31,27 @@
     skipped: int
 
 
-class Answered(NamedTuple):
-    """A target's whole answer.
+class TargetResponse(NamedTuple):
+    """A complete response of a target.
 
     :param response: status, headers and body.
-    :param word: what the target says of itself and of the request on it.
+    :param metadata: the :class:`~camphorshelf_relay.settings.TargetMetadata` from its headers.
     :param origin: the :class:`Origin`, for the log.
     """
 
     response: Response
-    word: object
+    metadata: object
     origin: Origin
 
 
-class Lost(NamedTuple):
-    """A request without a whole answer.
+class RequestFailure(NamedTuple):
+    """The result of a request that got no complete response.
 
     :param reason: one sentence.
-    :param sent: whether it may have run.
-    :param crashed: whether the connection broke off while the target had the request.
-    :param withdrawn: whether it was not sent because it was not wanted any more.
+    :param sent: whether the request was written to the target, so that it may have run.
+    :param crashed: whether the connection broke after the request was sent and before the head of
+        its response was complete.
+    :param withdrawn: whether the request was not sent because it was no longer wanted.
     """
 
     reason: str
@@ -59,19 +61,19 @@
 
 
 class TargetConnection:
-    """A connection of a :class:`~camphorshelf_relay.targetlink.TargetLink`.
+    """A connection of a :class:`~camphorshelf_relay.targetpool.TargetConnectionPool`.
 
     :param loop: the node's loop.
-    :param stream: its :class:`~camphorshelf_node.streams.Stream`.
-    :param dialect: how the target is spoken to.
-    :param link: the link that it belongs to.
+    :param stream: the connection's :class:`~camphorshelf_node.streams.Stream`.
+    :param header_codec: the :class:`~camphorshelf_relay.settings.HeaderCodec`.
+    :param pool: the pool that the connection belongs to.
     """
 
-    def __init__(self, loop, stream, dialect, link):
+    def __init__(self, loop, stream, header_codec, pool):
         self._loop = loop
-        self._link = link
+        self._pool = pool
         self._stream = stream
-        self._dialect = dialect
+        self._header_codec = header_codec
         self._on_done = None
         self._is_wanted = None
         self._request = None
@@ -80,8 +82,8 @@
         self._sent = False
         self._reused = False
         self._reader = None
-        self._word = None
-        self._carried = deque(maxlen=_REMEMBERED_REQUESTS)
+        self._metadata = None
+        self._carried_ids = deque(maxlen=_REMEMBERED_REQUESTS)
         self.idle_since = 0.0
         stream.on_data = self._on_data
         stream.on_close = self._on_close
@@ -89,46 +91,54 @@
 
     @property
     def stale(self):
-        """Whether the target has closed the connection or said something unasked."""
+        """Whether the target has closed the connection or sent bytes while it was idle."""
         return self._stream.closed or self._stream.stale
 
     def has_carried(self, request_id):
-        """Tell whether a request of this id went over the connection lately.
+        """Tell whether a request with this id was recently sent on the connection.
 
         :param request_id: the id.
-        :return: whether it did.
+        :return: True or False.
         """
-        return request_id in self._carried
+        return request_id in self._carried_ids
 
-    def run(self, request, request_id, on_done, is_wanted):
-        """Send a request; parameters as of the link's ``send``."""
+    def send(self, request, request_id, on_done, is_wanted):
+        """Send a request.
+
+        :param request: the complete :class:`~camphorshelf_core.calls.Request`.
+        :param request_id: the request id that the response must carry; empty if it need not.
+        :param on_done: called once with a :class:`TargetResponse` or a :class:`RequestFailure`.
+        :param is_wanted: called when a new connection is open; if it returns False, the request is
+            withdrawn.
+        :return: None.
+        """
         self._is_wanted = is_wanted
         self._request = request
         self._request_id = request_id
         self._on_done = on_done
         self._sent = False
         self._reused = self._reader is not None
-        self._reader = ResponseReader(request.method, _MAX_BODY_BYTES, self._is_own)
+        self._reader = ResponseReader(request.method, _MAX_BODY_BYTES, self._is_expected_response)
         if self._connected:
             self._write()
 
     def abort(self):
-        """Close at once and tell nobody."""
+        """Close the connection at once without calling ``on_done``."""
         self._on_done = None
         self._stream.close()
 
     def close(self):
-        """Close at once."""
+        """Close the connection at once."""
         self._stream.close()
 
-    def _is_own(self, status, headers):
-        word = self._word = self._dialect.read_target(status, headers)
+    def _is_expected_response(self, status, headers):
+        metadata = self._metadata = self._header_codec.parse_target(status, headers)
         if not self._request_id:
-            return not self.has_carried(word.request_id)
-        if word.request_id:
-            return word.request_id == self._request_id
-        # Targets name the request they answer; only a bare refusal may leave it out, and on a
-        # connection that was in use it may be the late answer to a probe.
+            return not self.has_carried(metadata.request_id)
+        if metadata.request_id:
+            return metadata.request_id == self._request_id
+        # Targets send the request id with their responses. Only an early error response may lack
+        # it, and on a reused connection that could be the late response to a probe.
         return status >= 300 and not self._reused
 
     def _on_connect(self):
@@ -138,7 +148,9 @@
         if self._is_wanted():
             self._write()
         else:
-            self._fail(Lost("the target takes no work any more", sent=False, withdrawn=True))
+            self._fail(
+                RequestFailure("the target no longer accepts requests", sent=False, withdrawn=True)
+            )
 
     def _write(self):
         self._sent = True
@@ -146,95 +158,105 @@
 
     def _on_data(self, data):
         if self._on_done is None:
-            self._link.on_stray("", "idle")
+            self._pool.on_stray("", "idle")
             self._stream.close()
             return
         try:
             self._reader.feed(data)
         except ResponseError as error:
-            self._fail(Lost(str(error), sent=True))
+            self._fail(RequestFailure(str(error), sent=True))
             return
         if self._reader.response is not None:
             self._deliver()
 
     def _deliver(self):
         if self._request_id:
-            self._carried.append(self._request_id)
-        reader, word = self._reader, self._word
-        self._tell_strays()
-        if word.idle_s is not None:
-            self._link.idle_s = max(0.5, word.idle_s)
-        flaw = self._find_flaw()
-        if flaw is not None:
-            self._fail(Lost(flaw, sent=True))
+            self._carried_ids.append(self._request_id)
+        reader, metadata = self._reader, self._metadata
+        self._report_strays()
+        if metadata.keep_alive_s is not None:
+            self._pool.keep_alive_s = max(0.5, metadata.keep_alive_s)
+        error = self._find_error()
+        if error is not None:
+            self._fail(RequestFailure(error, sent=True))
             return
         on_done, self._on_done = self._on_done, None
-        # A target may answer before it has read the whole body. Another request on the same
-        # connection would be read as the rest of it.
+        # A target may answer before it has read the whole request body. It would read another
+        # request on the same connection as the rest of that body.
         is_reusable = reader.leaves_reusable and not self._stream.unsent
-        # Kept in the loop's next turn: what the target sends at once behind its answer would be
-        # taken for the answer to the next request.
-        self._loop.call_later(0, lambda: self._rest(is_reusable))
+        # The connection is released in the next iteration of the loop, to detect bytes that the
+        # target sends directly after its response. They could be taken for the response to the
+        # next request.
+        self._loop.call_later(0, lambda: self._release(is_reusable))
         origin = Origin(reader.framing.value, self._reused, reader.skipped)
-        on_done(Answered(reader.response, word, origin))
+        on_done(TargetResponse(reader.response, metadata, origin))
 
-    def _find_flaw(self):
+    def _find_error(self):
         status = self._reader.response.status
-        if self._word.encoded:
-            return "the answer's body is not what the target made"
-        if self._request_id and status < 300 and not self._word.signed:
-            return "the answer is a success without the target's signature"
-        if self._holds_second_answer():
-            return "the answer's body runs on into another answer"
+        if self._metadata.is_content_encoded:
+            return "the response has a content encoding that the service itself does not use"
+        if self._request_id and status < 300 and not self._metadata.is_signed:
+            return "the response reports success without the target's signature"
+        if self._contains_second_response():
+            return "the response body contains the start of another response"
         return None
 
-    def _holds_second_answer(self):
-        # Cut short of its end, an answer is filled up by the next one on its connection.
+    def _contains_second_response(self):
+        # If a response is truncated, the reader takes the next response on the connection for the
+        # rest of its body.
         reader = self._reader
         heads = find_heads(reader.response.body)
-        return any(self._is_second(head, reader) for head in heads)
+        return any(self._is_response_head(head, reader) for head in heads)
 
-    def _is_second(self, head, reader):
+    def _is_response_head(self, head, reader):
         if not head.is_whole:
-            # One target writes all its heads alike; the last name may be a part of one.
+            # A target always writes the same header first. The last header name of the incomplete
+            # head may be truncated.
             name, _ = head.headers[0]
             is_alike = reader.first_name.startswith(name)
             return is_alike and (len(head.headers) == 1 or name == reader.first_name)
-        request_id = self._dialect.read_target(head.status, head.headers).request_id
+        request_id = self._header_codec.parse_target(head.status, head.headers).request_id
         if reader.framing is Framing.CLOSE or reader.has_surplus:
             return bool(request_id)
         return bool(request_id) and (request_id == self._request_id or self.has_carried(request_id))
 
-    def _tell_strays(self):
+    def _report_strays(self):
         if self._reader.skipped:
-            self._link.on_stray(self._request_id, "ahead")
+            self._pool.on_stray(self._request_id, "ahead")
         if self._reader.has_surplus:
-            self._link.on_stray(self._request_id, "behind")
+            self._pool.on_stray(self._request_id, "behind")
 
-    def _rest(self, is_reusable):
+    def _release(self, is_reusable):
         if self._stream.closed:
             return
         if is_reusable and not self._stream.stale:
-            self._link.give_back(self)
+            self._pool.release(self)
         else:
             self._stream.close()
 
-    def _fail(self, lost):
+    def _fail(self, failure):
         on_done, self._on_done = self._on_done, None
         self._stream.close()
         if on_done is not None:
-            on_done(lost)
+            on_done(failure)
 
     def _on_close(self):
-        self._link.forget(self)
+        self._pool.discard(self)
         if self._on_done is None:
             return
         if self._stream.ended_cleanly:
-            # A reset would not be the end of an answer without a length.
+            # A response without a length ends when the target closes the connection. A reset does
+            # not count as its end.
             self._reader.end()
         if self._reader.response is not None:
             self._deliver()
         elif self._sent:
-            self._fail(Lost("the connection was lost", True, crashed=self._reader.is_in_head))
+            self._fail(
+                RequestFailure(
+                    "the connection was lost before the response was complete",
+                    True,
+                    crashed=self._reader.is_in_head,
+                )
+            )
         else:
-            self._fail(Lost("no connection", sent=False))
+            self._fail(RequestFailure("the connection could not be established", sent=False))
--- /dev/null
+++ b/packages/relay/src/camphorshelf_relay/targetrequest.py
@@ -0,0 +1,271 @@
+"""Runs one request at the local target, at most once and never beyond its deadline."""
+
+from camphorshelf_core.calls import Request
+from camphorshelf_core.errors import Code, Ran
+from camphorshelf_core.jobs import Job, LatePolicy
+from camphorshelf_core.messages import DeclinedMessage, RelayedMessage
+from camphorshelf_core.retry import FAILURE_STATUSES
+
+from .targetconnection import TargetResponse
+
+# If opening the connection delays a request by more than this, the request is checked again before
+# it is written.
+_LATE_WRITE_SECONDS = 0.1
+
+
+class TargetRequest:
+    """One request, from its admission until it is answered, declined or cancelled.
+
+    :param controller: the :class:`~camphorshelf_relay.admissioncontroller.AdmissionController`.
+    :param loop: the node's loop.
+    :param message: the :class:`~camphorshelf_core.messages.RelayMessage`.
+    :param reply: called once with the message to send back.
+    """
+
+    def __init__(self, controller, loop, message, reply):
+        self._controller = controller
+        self._loop = loop
+        self._message = message
+        self._reply = reply
+        self.fingerprint = controller.crashes.fingerprint(message)
+        self._arrived_at = loop.now()
+        self._expires_at = self._arrived_at + message.left_s
+        self._started_at = None
+        self._slowness = 1.0
+        self._abort = None
+        self._timer = None
+        self._job = Job(
+            message.priority,
+            self._arrived_at + message.objective_s,
+            self._expires_at,
+            message.work_s,
+            LatePolicy(message.late_policy),
+            self._start,
+            self._on_shed,
+        )
+
+    def offer(self):
+        """Offer the request to the admission queue, which starts, queues or rejects it.
+
+        :return: a function that cancels the request, or None if it has been declined already.
+        """
+        result = self._controller.admission.offer(self._job, self._arrived_at)
+        if not result.admitted:
+            self.decline(Code.TARGET_BUSY, "no slot becomes free in time", Ran.NOT_RUN, result.wait_s)
+            return None
+        self._timer = self._loop.call_later(max(0.0, self._message.left_s), self._on_expiry)
+        return self.cancel
+
+    def cancel(self):
+        """Cancel the request without a reply.
+
+        :return: None.
+        """
+        if self._reply is None:
+            return
+        self._reply = None
+        self._log_cancel()
+        self._release()
+        self._controller.count_outcome("cancelled")
+
+    def decline(self, code, reason, ran, wait_s=0.0, reached=False):
+        """Reply that there is no response of the target.
+
+        :param code: the :class:`~camphorshelf_core.errors.Code`.
+        :param reason: one sentence.
+        :param ran: whether the request was executed, a :class:`~camphorshelf_core.errors.Ran`.
+        :param wait_s: the expected queueing delay, in seconds.
+        :param reached: whether the request was sent to the target.
+        :return: None.
+        """
+        reply, self._reply = self._reply, None
+        if reply is None:
+            return
+        self._release()
+        self._controller.count_outcome(code.name.lower())
+        self._log_decline(code, ran, wait_s)
+        reply(DeclinedMessage(0, int(code), reason, ran.value, wait_s, reached))
+
+    def _log_decline(self, code, ran, wait_s):
+        controller = self._controller
+        log = controller.log.routine if code is Code.TARGET_BUSY else controller.log.notable
+        log(
+            "turned_away" if self._started_at is None else "run_failed",
+            request=self._message.request_id,
+            code=code.name,
+            ran=ran.value,
+            wait_ms=round(wait_s * 1000, 1),
+            running=controller.admission.running,
+            queued=controller.admission.queued,
+            limit=controller.admission.limit,
+            slowness=controller.target.slowness,
+            cold=controller.target.is_limited,
+            instance=controller.target.record.instance,
+            held_ms=round((self._loop.now() - self._arrived_at) * 1000, 1),
+        )
+
+    def _log_cancel(self):
+        # When the entry node cancels a request at its deadline, this line is the only trace of it
+        # here. It shows which target had the request.
+        now = self._loop.now()
+        started_at = now if self._started_at is None else self._started_at
+        target = self._controller.target
+        self._controller.log.notable(
+            "run_cancelled",
+            request=self._message.request_id,
+            waited_ms=round((started_at - self._arrived_at) * 1000, 1),
+            ran_ms=round((now - started_at) * 1000, 1),
+            slowness=target.slowness,
+            instance=target.record.instance,
+        )
+
+    def _start(self):
+        now = self._loop.now()
+        remaining_s = self._expires_at - now
+        target = self._controller.target
+        self._started_at = now
+        self._slowness = target.slowness
+        message = self._message
+        headers = self._controller.header_codec.build_request(
+            message.headers, remaining_s, target.record.instance, message.caller_service
+        )
+        request = Request(message.method, message.path, headers, message.body)
+        self._abort = target.pool.send(
+            request, message.request_id, message.idempotent, self._on_result, self._is_still_wanted
+        )
+
+    def _is_still_wanted(self):
+        now = self._loop.now()
+        if now - self._started_at <= _LATE_WRITE_SECONDS:
+            return True
+        if not self._controller.target.accepting:
+            return False
+        # If many connections open late at the same moment, a cold target would get a full second's
+        # requests at once. Counting each delayed request again when it is written holds back
+        # further starts.
+        self._controller.admission.warm_up.note_start(now)
+        return True
+
+    def _on_result(self, result):
+        self._abort = None
+        if self._reply is None:
+            return
+        if isinstance(result, TargetResponse):
+            self._on_response(result)
+        elif result.withdrawn:
+            self.decline(Code.NO_TARGET, result.reason, Ran.NOT_RUN)
+        elif result.sent:
+            self._controller.target.record_outcome(True)
+            self._controller.target.record_connection_lost()
+            if result.crashed:
+                self._controller.crashes.record_connection_lost(self.fingerprint)
+            self.decline(Code.TARGET_LOST, result.reason, Ran.OUTCOME_UNKNOWN, reached=True)
+        else:
+            self._controller.target.record_unreachable()
+            self.decline(Code.TARGET_UNREACHABLE, result.reason, Ran.NOT_RUN)
+
+    def _on_response(self, result):
+        response, metadata, origin = result
+        target = self._controller.target
+        target.update_metadata(metadata)
+        if metadata.not_run:
+            self._on_not_run(response, metadata)
+            return
+        if metadata.falsely_implies_not_run:
+            # The caller would take this status as a promise that the request did not run, and
+            # would send an order again that may have been executed.
+            target.record_outcome(True)
+            reason = f"the target answered {response.status} without confirming that it did not run"
+            self.decline(Code.TARGET_LOST, reason, Ran.OUTCOME_UNKNOWN, reached=True)
+            return
+        now = self._loop.now()
+        ran_s = now - self._started_at
+        target.record_outcome(response.status in FAILURE_STATUSES)
+        self._controller.crashes.record_completed(self.fingerprint, self._started_at)
+        if response.status < 300:
+            slowness = max(0.1, (self._slowness + target.slowness) / 2)
+            self._record_run_time(ran_s / slowness, now)
+        waited_s = self._started_at - self._arrived_at
+        self._controller.log.routine(
+            "run_ended",
+            request=self._message.request_id,
+            status=response.status,
+            waited_ms=round(waited_s * 1000, 1),
+            ran_ms=round(ran_s * 1000, 1),
+            slowness=self._slowness,
+            instance=target.record.instance,
+            bytes=len(response.body),
+            **origin._asdict(),
+        )
+        reply, self._reply = self._reply, None
+        self._release()
+        self._controller.count_outcome("answered")
+        self._controller.on_response(waited_s, ran_s)
+        reply(
+            RelayedMessage(
+                0,
+                response.status,
+                response.headers,
+                response.body,
+                waited_s,
+                ran_s,
+                self._slowness,
+            )
+        )
+
+    def _record_run_time(self, seconds, now):
+        admission = self._controller.admission
+        before = admission.limit
+        admission.note_run(self._job, seconds, now)
+        if admission.limit != before:
+            self._controller.log.notable(
+                "limit_moved",
+                before=before,
+                limit=admission.limit,
+                slots=admission.slots,
+                instance=self._controller.target.record.instance,
+            )
+
+    def _on_not_run(self, response, metadata):
+        target = self._controller.target
+        if response.status == 421:
+            target.record_other_process(metadata.instance)
+            self.decline(
+                Code.NO_TARGET, "another process listens at the target's address", Ran.NOT_RUN
+            )
+            return
+        target.record_outcome(True)
+        self.decline(
+            Code.TARGET_SHED,
+            f"the target rejected the request with HTTP status {response.status}",
+            Ran.NOT_RUN,
+            reached=True,
+        )
+
+    def _on_shed(self, wait_s):
+        self.decline(Code.TARGET_BUSY, "the expected wait became too long", Ran.NOT_RUN, wait_s)
+
+    def _on_expiry(self):
+        self._timer = None
+        if self._started_at is None:
+            self.decline(Code.DEADLINE_UNREACHABLE, "the deadline passed in the queue", Ran.NOT_RUN)
+        else:
+            self.decline(
+                Code.DEADLINE_EXCEEDED,
+                "the deadline passed while the request ran",
+                Ran.OUTCOME_UNKNOWN,
+                reached=True,
+            )
+
+    def _release(self):
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._abort is not None:
+            # Aborting closes the connection. The target then drops the work, and bytes that it
+            # still sends can't be taken for the response to another request.
+            self._abort()
+            self._abort = None
+        if not self._controller.admission.cancel(self._job):
+            self._controller.admission.finish(self._job, self._loop.now())
+        self._controller.schedule_dispatch()
+        self._controller.target.on_change()
--- a/tests/features/steps/answer_cuts_steps.py
+++ b/tests/features/steps/answer_cuts_steps.py
@@ -7,10 +7,10 @@
 from behave import given, then, when
 
 from camphorshelf_core.calls import Request
-from camphorshelf_platform.headers import DIALECT
-from camphorshelf_relay import targetlink
-from camphorshelf_relay.targetconnection import Answered
-from camphorshelf_relay.targetlink import TargetLink
+from camphorshelf_platform.headers import HEADER_CODEC
+from camphorshelf_relay import targetpool
+from camphorshelf_relay.targetconnection import TargetResponse
+from camphorshelf_relay.targetpool import TargetConnectionPool
 from standins.fakes import FakeLoop, FakeStream
 
 _BODY_BYTES = b"abHT/ \r\n0"
@@ -158,8 +158,8 @@
         streams.append(FakeStream())
         return streams[-1]
 
-    with mock.patch.object(targetlink, "dial", dial):
-        link = TargetLink(loop, ("127.0.0.1", 1), DIALECT)
+    with mock.patch.object(targetpool, "dial", dial):
+        link = TargetConnectionPool(loop, ("127.0.0.1", 1), HEADER_CODEC)
         if is_used:
             _send(link, "Z", [])
             streams[0].on_connect()
@@ -195,7 +195,7 @@
     for row, cuts, outcome in context.outcomes:
         assert len(outcome.results) == 1, (row, cuts, outcome)
         (result,) = outcome.results
-        assert isinstance(result, Answered), (row, cuts, outcome)
+        assert isinstance(result, TargetResponse), (row, cuts, outcome)
         assert (result.response.status, result.response.body) == row.own, (row, cuts, outcome)
 
 
@@ -211,7 +211,7 @@
 def check_no_success(context):
     assert context.outcomes
     wrong = [
-        one for one in context.outcomes if any(isinstance(r, Answered) for r in one[2].results)
+        one for one in context.outcomes if any(isinstance(r, TargetResponse) for r in one[2].results)
     ]
     assert not wrong, (len(wrong), len(context.outcomes), wrong[0])
 
--- a/tests/features/steps/evacuation_steps.py
+++ b/tests/features/steps/evacuation_steps.py
@@ -21,11 +21,11 @@
     encode,
 )
 from camphorshelf_core.routes import ServiceTerms
-from camphorshelf_platform.headers import DIALECT
-from camphorshelf_relay import targetlink
+from camphorshelf_platform.headers import HEADER_CODEC
+from camphorshelf_relay import targetpool
 from camphorshelf_relay.configkeeper import ConfigKeeper
-from camphorshelf_relay.crashes import CrashWatch
-from camphorshelf_relay.gate import Gate
+from camphorshelf_relay.crashes import CrashTracker
+from camphorshelf_relay.admissioncontroller import AdmissionController
 from camphorshelf_relay.router import Router
 from camphorshelf_relay.storeport import StoredRow, StoreRows
 from camphorshelf_relay.target import Target
@@ -204,17 +204,17 @@
 def _make_gate(context, opening_s=0.001):
     loop = context.loop = FakeLoop()
     context.streams = _Streams(loop, opening_s)
-    patch = mock.patch.object(targetlink, "dial", context.streams.dial)
+    patch = mock.patch.object(targetpool, "dial", context.streams.dial)
     patch.start()
     context.add_cleanup(patch.stop)
     admission = AdmissionQueue()
-    context.target = Target(loop, SETTINGS, DIALECT, admission, _Log())
-    crashes = CrashWatch(loop, "a", _Log())
-    context.gate = Gate(loop, SETTINGS, DIALECT, admission, context.target, crashes, _Log())
+    context.target = Target(loop, SETTINGS, HEADER_CODEC, admission, _Log())
+    crashes = CrashTracker(loop, "a", _Log())
+    context.gate = AdmissionController(loop, SETTINGS, HEADER_CODEC, admission, context.target, crashes, _Log())
     # Without a health path it is not probed, so that only requests open connections.
     context.target.configure(ServiceTerms(""))
     context.target._probe.configure(None, may_be_cold=False)
-    context.target.beat(Heartbeat("i-1", 1, 1, "counter", "127.0.0.1:1", 9, False, 0.0))
+    context.target.handle_heartbeat(Heartbeat("i-1", 1, 1, "counter", "127.0.0.1:1", 9, False, 0.0))
     context.answers = []
 
 
@@ -236,7 +236,7 @@
         headers=(),
         body=b"",
     )
-    context.gate.run(message, lambda answer: context.answers.append((name, answer)))
+    context.gate.submit(message, lambda answer: context.answers.append((name, answer)))
     context.loop.advance(0.01)
 
 
@@ -274,12 +274,12 @@
 
 @when("its failure domain is evacuated")
 def evacuate(context):
-    context.target.evacuate(True)
+    context.target.set_evacuated(True)
 
 
 @when("the evacuation is taken back")
 def take_back(context):
-    context.target.evacuate(False)
+    context.target.set_evacuated(False)
 
 
 @when("the target's connections have had {seconds:f} s")
@@ -333,7 +333,7 @@
 
 @when("its node ends within {seconds:f} s")
 def end_node(context, seconds):
-    context.gate.end_work_by(context.loop.now() + seconds)
+    context.gate.set_shutdown_time(context.loop.now() + seconds)
 
 
 @then("a request whose caller waits for {seconds:f} s is let in")
@@ -361,7 +361,7 @@
             peers.directory.take(status, loop.now())
     settings = SETTINGS._replace(service="desk")
     context.router = Router(
-        loop, settings, DIALECT, context.keeper, peers, None, None, random.Random(1), _Log()
+        loop, settings, HEADER_CODEC, context.keeper, peers, None, None, random.Random(1), _Log()
     )
     assert len(context.router.views("counter")) == 6
 
--- a/tests/features/steps/held_up_steps.py
+++ b/tests/features/steps/held_up_steps.py
@@ -11,7 +11,7 @@
     def __init__(self):
         self.runs = []
 
-    def run(self, message, reply):
+    def submit(self, message, reply):
         self.runs.append(message)
 
 
--- a/tests/features/steps/limit_log_steps.py
+++ b/tests/features/steps/limit_log_steps.py
@@ -9,10 +9,10 @@
 from camphorshelf_core.instances import InstanceRecord
 from camphorshelf_core.jobs import LatePolicy
 from camphorshelf_core.messages import RelayMessage
-from camphorshelf_platform.headers import DIALECT, read_target
-from camphorshelf_relay.crashes import CrashWatch
-from camphorshelf_relay.gate import Gate
-from camphorshelf_relay.targetconnection import Answered, Origin
+from camphorshelf_platform.headers import HEADER_CODEC, parse_target
+from camphorshelf_relay.crashes import CrashTracker
+from camphorshelf_relay.admissioncontroller import AdmissionController
+from camphorshelf_relay.targetconnection import TargetResponse, Origin
 from standins.fakes import FakeLoop
 
 _SERVICE = "counter"
@@ -47,7 +47,7 @@
         self.accepting = True
         self.slowness = 1.0
         self.is_limited = False
-        self.link = self
+        self.pool = self
 
     def send(self, request, request_id, idempotent, on_done, is_wanted):
         self._running += 1
@@ -60,15 +60,15 @@
     def _answer(self, on_done):
         self._running -= 1
         origin = Origin("length", reused=False, skipped=0)
-        on_done(Answered(Response(200, (), b""), read_target(200, ()), origin))
+        on_done(TargetResponse(Response(200, (), b""), parse_target(200, ()), origin))
 
     def on_change(self):
         """Nobody else wants to know."""
 
-    def note_word(self, word):
+    def update_metadata(self, word):
         """It tells nothing of its load."""
 
-    def note_outcome(self, failed):
+    def record_outcome(self, failed):
         """Its failures are not looked at."""
 
 
@@ -76,9 +76,9 @@
 def bending_node(context, slots, longer, bend):
     context.loop, context.log = FakeLoop(), _Log()
     target = _Target(context.loop, bend, longer)
-    crashes = CrashWatch(context.loop, "a", context.log)
-    context.gate = Gate(
-        context.loop, _Settings(), DIALECT, AdmissionQueue(slots), target, crashes, context.log
+    crashes = CrashTracker(context.loop, "a", context.log)
+    context.gate = AdmissionController(
+        context.loop, _Settings(), HEADER_CODEC, AdmissionQueue(slots), target, crashes, context.log
     )
 
 
@@ -104,7 +104,7 @@
             headers=(),
             body=b"",
         )
-        context.gate.run(message, lambda reply: None)
+        context.gate.submit(message, lambda reply: None)
 
 
 @then("the log says that the limit moved from {before:d} to {limit:d} of {slots:d} slots")
--- a/tests/features/steps/logs_steps.py
+++ b/tests/features/steps/logs_steps.py
@@ -85,7 +85,7 @@
 
 @then("the log holds at most 600 kB of them")
 def bounded(context):
-    assert context.log.unwritten <= 600_000, context.log.unwritten
+    assert context.log.unwritten_bytes <= 600_000, context.log.unwritten_bytes
 
 
 def _read_all(context):
--- a/tests/features/steps/platform_formats_steps.py
+++ b/tests/features/steps/platform_formats_steps.py
@@ -7,7 +7,7 @@
 
 from camphorshelf_core.errors import Code, ProtocolError, Ran, Refusal
 from camphorshelf_platform.documents import read_document, read_evacuations
-from camphorshelf_platform.headers import read_target, write_refusal
+from camphorshelf_platform.headers import parse_target, build_refusal
 from camphorshelf_platform.settings import SettingsError, parse_settings
 from camphorshelf_relay.storeport import StoredRow
 from standins.relays import make_document
@@ -128,7 +128,7 @@
 
 @when('a target\'s health says "{value}" of being cold')
 def cold_header(context, value):
-    context.word = read_target(200, [(b"cold-ms", value.encode())])
+    context.word = parse_target(200, [(b"cold-ms", value.encode())])
 
 
 @then("it is cold for {seconds} s")
@@ -163,19 +163,19 @@
 @then("a refusal {code} that {ran} is answered {status:d}")
 def answered(context, code, ran, status):
     refusal = Refusal(Code[code], "why", Ran[ran])
-    assert write_refusal(refusal, "r1")[0] == status, write_refusal(refusal, "r1")
+    assert build_refusal(refusal, "r1")[0] == status, build_refusal(refusal, "r1")
 
 
 @then('a refusal with {milliseconds:d} ms of Retry-After says "{text}"')
 def says(context, milliseconds, text):
     refusal = Refusal(Code.TARGET_BUSY, "why", Ran.NOT_RUN, milliseconds)
-    headers = dict(write_refusal(refusal, "r1")[1])
+    headers = dict(build_refusal(refusal, "r1")[1])
     assert headers[b"retry-after"] == text.encode(), headers
 
 
 @when('a target\'s load header is "{value}"')
 def load_header(context, value):
-    context.word = read_target(200, [(b"instance-load", value.encode())])
+    context.word = parse_target(200, [(b"instance-load", value.encode())])
 
 
 @then("its slowness is {slowness} and it runs {running}")
--- a/tests/features/steps/starting_steps.py
+++ b/tests/features/steps/starting_steps.py
@@ -9,7 +9,7 @@
 from behave import given, then, when
 
 from camphorshelf_relay.metrics import Metrics
-from camphorshelf_relay.node import keep_libraries_out_of_collections
+from camphorshelf_relay.node import exclude_imports_from_gc
 
 _ROOT = Path(__file__).resolve().parents[3]
 _LIST_MODULES = """
@@ -53,7 +53,7 @@
 
 @when("the node in it has started")
 def has_started(context):
-    keep_libraries_out_of_collections()
+    exclude_imports_from_gc()
 
 
 @then("garbage is collected, and what was there before is not looked through")
@@ -70,7 +70,7 @@
 @when("{count:d} requests of {milliseconds:d} ms were answered")
 def answered(context, count, milliseconds):
     for _ in range(count):
-        context.metrics.note_request("r-start", "200", milliseconds / 1000)
+        context.metrics.record_request("r-start", "200", milliseconds / 1000)
 
 
 def _read(text, suffix):
@@ -87,7 +87,7 @@
 
 @then("the second pull tells {count:d} requests after one more")
 def second_pull(context, count):
-    context.metrics.note_request("r-start", "200", 0.02)
+    context.metrics.record_request("r-start", "200", 0.02)
     text = context.metrics.render().decode()
     assert _read(text, "count") == count, text
     assert re.search(r"^camphorshelf_requests_total\{.*\} 4\.0$", text, re.MULTILINE), text
--- a/tests/features/steps/target_answers_steps.py
+++ b/tests/features/steps/target_answers_steps.py
@@ -6,10 +6,10 @@
 from behave import given, then, when
 
 from camphorshelf_core.calls import Request
-from camphorshelf_platform.headers import DIALECT
-from camphorshelf_relay import targetlink
-from camphorshelf_relay.targetconnection import Answered, Lost
-from camphorshelf_relay.targetlink import TargetLink
+from camphorshelf_platform.headers import HEADER_CODEC
+from camphorshelf_relay import targetpool
+from camphorshelf_relay.targetconnection import TargetResponse, RequestFailure
+from camphorshelf_relay.targetpool import TargetConnectionPool
 from standins.fakes import FakeLoop, FakeStream
 
 # A head is written as {status id framing}; the id "-" stands for none.
@@ -38,10 +38,10 @@
         loop.call_later(0, lambda: stream.on_connect())
         return stream
 
-    patch = mock.patch.object(targetlink, "dial", dial)
+    patch = mock.patch.object(targetpool, "dial", dial)
     patch.start()
     context.add_cleanup(patch.stop)
-    context.link = TargetLink(context.loop, ("127.0.0.1", 1), DIALECT)
+    context.link = TargetConnectionPool(context.loop, ("127.0.0.1", 1), HEADER_CODEC)
     context.strays = []
     context.link.on_stray = lambda request_id, place: context.strays.append((place, request_id))
 
@@ -123,7 +123,7 @@
 
 def _check_answer(context, request_id, status, body):
     (result,) = context.results[request_id]
-    assert isinstance(result, Answered), result
+    assert isinstance(result, TargetResponse), result
     body = body.replace("~", "\r\n").encode()
     assert (result.response.status, result.response.body) == (status, body), result
 
@@ -141,7 +141,7 @@
 @then("the caller of {request_id:w} is told that it may have run")
 def check_lost(context, request_id):
     (result,) = context.results[request_id]
-    assert isinstance(result, Lost), result
+    assert isinstance(result, RequestFailure), result
     assert result.sent
 
 
--- a/tests/features/steps/target_link_steps.py
+++ b/tests/features/steps/target_link_steps.py
@@ -8,8 +8,8 @@
 from camphorshelf_core.calls import Request
 from camphorshelf_core.instances import Heartbeat
 from camphorshelf_core.routes import ServiceTerms
-from camphorshelf_platform.headers import DIALECT
-from camphorshelf_relay import targetlink
+from camphorshelf_platform.headers import HEADER_CODEC
+from camphorshelf_relay import targetpool
 from camphorshelf_relay.target import Target
 from standins.fakes import FakeLoop, FakeStream
 from standins.relayparts import SETTINGS
@@ -49,15 +49,15 @@
 def target(context):
     context.loop = FakeLoop()
     context.streams = _Streams(context.loop)
-    patch = mock.patch.object(targetlink, "dial", context.streams.dial)
+    patch = mock.patch.object(targetpool, "dial", context.streams.dial)
     patch.start()
     context.add_cleanup(patch.stop)
-    context.subject = Target(context.loop, SETTINGS, DIALECT, AdmissionQueue(), _Log())
+    context.subject = Target(context.loop, SETTINGS, HEADER_CODEC, AdmissionQueue(), _Log())
     context.subject.configure(ServiceTerms("/health"))
-    context.subject.beat(Heartbeat("i-1", 1, 1, "counter", "127.0.0.1:1", 9, False, 0.0))
+    context.subject.handle_heartbeat(Heartbeat("i-1", 1, 1, "counter", "127.0.0.1:1", 9, False, 0.0))
     for _ in range(3):
         request = Request("GET", b"/", (), b"")
-        context.subject.link.send(request, "", True, lambda result: None)
+        context.subject.pool.send(request, "", True, lambda result: None)
     context.loop.advance(0.04)
     context.kept = [stream for stream in context.streams.opened if not stream.closed]
     assert len(context.kept) == 3
