--- a/packages/relay/src/camphorshelf_relay/admissioncontroller.py
+++ b/packages/relay/src/camphorshelf_relay/admissioncontroller.py
@@ -31,26 +31,26 @@
         self.on_response = lambda waited_s, ran_s: None
 
     def submit(self, message, reply):
-        """Start, queue or decline a request.
+        """Start, queue or refuse a request.
 
         :param message: the :class:`~camphorshelf_core.messages.RelayMessage`.
         :param reply: called once with a :class:`~camphorshelf_core.messages.RelayAnswerMessage` or
             a :class:`~camphorshelf_core.messages.RelayRefusedMessage`.
-        :return: a function that cancels the request, or None if it has been declined already.
+        :return: a function that cancels the request, or None if it has been refused already.
         """
         request = TargetRequest(self, self._loop, message, reply)
         if not self.target.accepting or message.service != self._settings.service:
-            request.decline(Code.NO_TARGET, self.target.closed_reason, Ran.NOT_RUN)
+            request.send_refusal(Code.NO_TARGET, self.target.closed_reason, Ran.NOT_RUN)
             return None
         if self._shutdown_at is not None and self._loop.now() + message.left_s > self._shutdown_at:
-            request.decline(
+            request.send_refusal(
                 Code.NO_TARGET,
                 "the node may shut down before the request's deadline",
                 Ran.NOT_RUN,
             )
             return None
         if self.crashes.is_quarantined(request.fingerprint):
-            request.decline(
+            request.send_refusal(
                 Code.QUARANTINED,
                 "the request is quarantined because targets crashed while running it",
                 Ran.NOT_RUN,
@@ -62,7 +62,7 @@
         return cancel
 
     def set_shutdown_time(self, moment):
-        """Decline requests whose deadline lies after the node's shutdown.
+        """Refuse requests whose deadline lies after the node's shutdown.
 
         :param moment: when the node shuts down, in seconds on the loop's clock.
         :return: None.
--- a/packages/relay/src/camphorshelf_relay/crashes.py
+++ b/packages/relay/src/camphorshelf_relay/crashes.py
@@ -55,11 +55,13 @@
     def recent_crashes(self):
         """Pairs of fingerprint and crash count, for requests recently blamed by this node."""
         now = self._loop.now()
-        recent = [name for name, at in self._blamed_at.items() if now - at < _SENT_SECONDS]
+        recent = [
+            fingerprint for fingerprint, at in self._blamed_at.items() if now - at < _SENT_SECONDS
+        ]
         return tuple(
-            (name, self._quarantine.evidence(name)[0][self._name].count)
-            for name in recent[-_MAX_SENT_FINGERPRINTS:]
-            if self._name in self._quarantine.evidence(name)[0]
+            (fingerprint, self._quarantine.evidence(fingerprint)[0][self._name].count)
+            for fingerprint in recent[-_MAX_SENT_FINGERPRINTS:]
+            if self._name in self._quarantine.evidence(fingerprint)[0]
         )
 
     def fingerprint(self, message):
@@ -70,32 +72,32 @@
         """
         return fingerprint(message.service, message.method, message.path, message.body)
 
-    def is_quarantined(self, name):
+    def is_quarantined(self, fingerprint):
         """Tell whether a request is quarantined.
 
-        :param name: the request's fingerprint.
+        :param fingerprint: the request's fingerprint.
         :return: True or False.
         """
-        return self._quarantine.standing(name, self._loop.now()) is Standing.REFUSED
+        return self._quarantine.standing(fingerprint, self._loop.now()) is Standing.REFUSED
 
-    def record_connection_lost(self, name):
+    def record_connection_lost(self, fingerprint):
         """Record that the connection to the target broke while it ran a request.
 
-        :param name: the request's fingerprint.
+        :param fingerprint: the request's fingerprint.
         :return: None.
         """
         now = self._loop.now()
         self._lost = [pair for pair in self._lost if now - pair[1] < _DETECTION_SECONDS]
-        self._lost.append((name, now))
+        self._lost.append((fingerprint, now))
 
-    def record_completed(self, name, started):
+    def record_completed(self, fingerprint, started):
         """Record that the target answered a request, which clears it of suspicion.
 
-        :param name: the request's fingerprint.
+        :param fingerprint: the request's fingerprint.
         :param started: when the target started to run it, in seconds on the loop's clock.
         :return: None.
         """
-        self._quarantine.note_clean(name, started, self._loop.now())
+        self._quarantine.note_clean(fingerprint, started, self._loop.now())
 
     def record_crash(self):
         """Record that the target's process crashed, and blame the requests that it ran.
@@ -104,11 +106,13 @@
         """
         now = self._loop.now()
         lost, self._lost = self._lost, []
-        suspects = [name for name, at in lost if now - at < _DETECTION_SECONDS]
-        for name in self._quarantine.note_crash(suspects, now):
-            self._blamed_at.pop(name, None)
-            self._blamed_at[name] = now
-            self._log.notable("crash_blamed", fingerprint=name, refused=self.is_quarantined(name))
+        suspects = [fingerprint for fingerprint, at in lost if now - at < _DETECTION_SECONDS]
+        for blamed in self._quarantine.note_crash(suspects, now):
+            self._blamed_at.pop(blamed, None)
+            self._blamed_at[blamed] = now
+            self._log.notable(
+                "crash_blamed", fingerprint=blamed, refused=self.is_quarantined(blamed)
+            )
 
     def merge_remote(self, host, crashes):
         """Merge the crash counts of another host.
@@ -118,7 +122,7 @@
         :return: None.
         """
         now = self._loop.now()
-        for name, count in crashes:
-            known = self._quarantine.evidence(name)[0].get(host)
+        for remote_fingerprint, count in crashes:
+            known = self._quarantine.evidence(remote_fingerprint)[0].get(host)
             if known is None or known.count < count:
-                self._quarantine.learn_crashes(name, host, Crashes(count, now), now)
+                self._quarantine.learn_crashes(remote_fingerprint, host, Crashes(count, now), now)
--- a/packages/relay/src/camphorshelf_relay/events.py
+++ b/packages/relay/src/camphorshelf_relay/events.py
@@ -38,7 +38,7 @@
     ),
     Event(
         "declined",
-        "A target's node declined a request or its target failed. The request may be retried at "
+        "A target's node refused a request or its target failed. The request may be retried at "
         "another target.",
         "request route target expected_ms code wait_s",
     ),
@@ -54,7 +54,7 @@
     ),
     Event(
         "turned_away",
-        "The target's node rejected a request or removed it from the queue. It was not executed.",
+        "The target's node refused a request or removed it from the queue. It was not executed.",
         "request code ran wait_ms running queued limit slowness cold instance held_ms",
     ),
     Event(
--- a/packages/relay/src/camphorshelf_relay/healthprobe.py
+++ b/packages/relay/src/camphorshelf_relay/healthprobe.py
@@ -11,7 +11,8 @@
 _PROBE_INTERVAL_SECONDS = 0.05
 _TIMEOUT_SECONDS = 0.25
 _MIN_TIMER_SECONDS = 0.005
-# Interval while the target is down: a refused connection costs as much as an accepted one.
+# Longer interval while the target is down, because a refused connection costs as much as an
+# accepted one.
 _DOWN_INTERVAL_SECONDS = 0.2
 # Consecutive probes without a response after which the target counts as unreachable. The health
 # path answers immediately, so two timeouts mean that the target was silent for half a second.
@@ -83,7 +84,10 @@
         self.probe_if_cold_state_unknown()
 
     def probe_if_cold_state_unknown(self):
-        """Reschedule the next probe if the target can be cold and it is unknown whether it is.
+        """Send a probe as early as the rate limit allows if the target may have turned cold.
+
+        That is the case if the service's targets can be cold and this target hasn't reported
+        whether it is.
 
         :return: None.
         """
--- a/packages/relay/src/camphorshelf_relay/listeners.py
+++ b/packages/relay/src/camphorshelf_relay/listeners.py
@@ -10,7 +10,7 @@
 # Leaves file descriptors for connections to targets, peers and the store, and for files.
 _MAX_CALLER_CONNECTIONS = 3_000
 _JSON_HEADERS = ((b"content-type", b"application/json"),)
-# Requests with less time left than this are declined.
+# Requests with less time left than this are refused.
 _MIN_REMAINING_SECONDS = 0.005
 
 
@@ -184,7 +184,7 @@
         )
         if message.left_s < _MIN_REMAINING_SECONDS:
             reply(
-                _decline(
+                _make_refusal(
                     Code.DEADLINE_UNREACHABLE,
                     "the request was delayed on its way to the target's node",
                     Ran.NOT_RUN,
@@ -197,7 +197,7 @@
             # Without a reply the peer would wait until the deadline.
             on_fault(error)
             reason = f"internal error in the target's node: {type(error).__name__}"
-            reply(_decline(Code.INTERNAL, reason, Ran.OUTCOME_UNKNOWN))
+            reply(_make_refusal(Code.INTERNAL, reason, Ran.OUTCOME_UNKNOWN))
             return None
 
     return handle
@@ -242,5 +242,5 @@
     listen(loop, address, accept)
 
 
-def _decline(code, reason, ran):
+def _make_refusal(code, reason, ran):
     return DeclinedMessage(0, int(code), reason, ran.value, 0.0, ran is not Ran.NOT_RUN)
--- a/packages/relay/src/camphorshelf_relay/targetrequest.py
+++ b/packages/relay/src/camphorshelf_relay/targetrequest.py
@@ -14,7 +14,7 @@
 
 
 class TargetRequest:
-    """One request, from its admission until it is answered, declined or cancelled.
+    """One request, from its admission until it is answered, refused or cancelled.
 
     :param controller: the :class:`~camphorshelf_relay.admissioncontroller.AdmissionController`.
     :param loop: the node's loop.
@@ -45,13 +45,15 @@
         )
 
     def offer(self):
-        """Offer the request to the admission queue, which starts, queues or rejects it.
+        """Offer the request to the admission queue, which starts, queues or refuses it.
 
-        :return: a function that cancels the request, or None if it has been declined already.
+        :return: a function that cancels the request, or None if it has been refused already.
         """
         result = self._controller.admission.offer(self._job, self._arrived_at)
         if not result.admitted:
-            self.decline(Code.TARGET_BUSY, "no slot becomes free in time", Ran.NOT_RUN, result.wait_s)
+            self.send_refusal(
+                Code.TARGET_BUSY, "no slot becomes free in time", Ran.NOT_RUN, result.wait_s
+            )
             return None
         self._timer = self._loop.call_later(max(0.0, self._message.left_s), self._on_expiry)
         return self.cancel
@@ -68,8 +70,8 @@
         self._release()
         self._controller.count_outcome("cancelled")
 
-    def decline(self, code, reason, ran, wait_s=0.0, reached=False):
-        """Reply that there is no response of the target.
+    def send_refusal(self, code, reason, ran, wait_s=0.0, reached=False):
+        """Reply with a refusal, instead of a response of the target.
 
         :param code: the :class:`~camphorshelf_core.errors.Code`.
         :param reason: one sentence.
@@ -83,10 +85,10 @@
             return
         self._release()
         self._controller.count_outcome(code.name.lower())
-        self._log_decline(code, ran, wait_s)
+        self._log_refusal(code, ran, wait_s)
         reply(DeclinedMessage(0, int(code), reason, ran.value, wait_s, reached))
 
-    def _log_decline(self, code, ran, wait_s):
+    def _log_refusal(self, code, ran, wait_s):
         controller = self._controller
         log = controller.log.routine if code is Code.TARGET_BUSY else controller.log.notable
         log(
@@ -153,16 +155,16 @@
         if isinstance(result, TargetResponse):
             self._on_response(result)
         elif result.withdrawn:
-            self.decline(Code.NO_TARGET, result.reason, Ran.NOT_RUN)
+            self.send_refusal(Code.NO_TARGET, result.reason, Ran.NOT_RUN)
         elif result.sent:
             self._controller.target.record_outcome(True)
             self._controller.target.record_connection_lost()
             if result.crashed:
                 self._controller.crashes.record_connection_lost(self.fingerprint)
-            self.decline(Code.TARGET_LOST, result.reason, Ran.OUTCOME_UNKNOWN, reached=True)
+            self.send_refusal(Code.TARGET_LOST, result.reason, Ran.OUTCOME_UNKNOWN, reached=True)
         else:
             self._controller.target.record_unreachable()
-            self.decline(Code.TARGET_UNREACHABLE, result.reason, Ran.NOT_RUN)
+            self.send_refusal(Code.TARGET_UNREACHABLE, result.reason, Ran.NOT_RUN)
 
     def _on_response(self, result):
         response, metadata, origin = result
@@ -176,7 +178,7 @@
             # would send an order again that may have been executed.
             target.record_outcome(True)
             reason = f"the target answered {response.status} without confirming that it did not run"
-            self.decline(Code.TARGET_LOST, reason, Ran.OUTCOME_UNKNOWN, reached=True)
+            self.send_refusal(Code.TARGET_LOST, reason, Ran.OUTCOME_UNKNOWN, reached=True)
             return
         now = self._loop.now()
         ran_s = now - self._started_at
@@ -230,27 +232,31 @@
         target = self._controller.target
         if response.status == 421:
             target.record_other_process(metadata.instance)
-            self.decline(
+            self.send_refusal(
                 Code.NO_TARGET, "another process listens at the target's address", Ran.NOT_RUN
             )
             return
         target.record_outcome(True)
-        self.decline(
+        self.send_refusal(
             Code.TARGET_SHED,
-            f"the target rejected the request with HTTP status {response.status}",
+            f"the target refused the request with HTTP status {response.status}",
             Ran.NOT_RUN,
             reached=True,
         )
 
     def _on_shed(self, wait_s):
-        self.decline(Code.TARGET_BUSY, "the expected wait became too long", Ran.NOT_RUN, wait_s)
+        self.send_refusal(
+            Code.TARGET_BUSY, "the expected wait became too long", Ran.NOT_RUN, wait_s
+        )
 
     def _on_expiry(self):
         self._timer = None
         if self._started_at is None:
-            self.decline(Code.DEADLINE_UNREACHABLE, "the deadline passed in the queue", Ran.NOT_RUN)
+            self.send_refusal(
+                Code.DEADLINE_UNREACHABLE, "the deadline passed in the queue", Ran.NOT_RUN
+            )
         else:
-            self.decline(
+            self.send_refusal(
                 Code.DEADLINE_EXCEEDED,
                 "the deadline passed while the request ran",
                 Ran.OUTCOME_UNKNOWN,
