--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -41,13 +41,13 @@
 
 
 def _no_near_first():
-    placement._COMFORT = 0.0
-    placement._FAR_FACTOR = 1.0
-    placement._FAR_SECONDS = 0.0
+    placement._NEAR_OBJECTIVE_SHARE = 0.0
+    placement._CROSS_DOMAIN_COST_FACTOR = 1.0
+    placement._CROSS_DOMAIN_SECONDS = 0.0
 
 
 def _no_slowness_in_choice():
-    estimate = placement.estimate
+    estimate = placement.estimate_times
 
     def ignore_slowness(view, work_s, usual_work_s, now):
         status, view.status = view.status, view.status._replace(slowness=1.0)
@@ -56,24 +56,24 @@
         finally:
             view.status = status
 
-    placement.estimate = ignore_slowness
+    placement.estimate_times = ignore_slowness
 
 
 def _no_pace_in_choice():
-    placement._PACE_BOUNDS = (1.0, 1.0)
+    placement._RELATIVE_WORK_BOUNDS = (1.0, 1.0)
 
 
 def _no_failing_in_choice():
     placement._FAILURE_WEIGHT = 0.0
-    placement.BROKEN_SHARE = 2.0
+    placement.MAX_FAILURE_SHARE = 2.0
 
 
 def _no_warming_in_choice():
-    placement._WARMING = 1.0
+    placement._WARM_UP_SLOWDOWN = 1.0
 
 
 def _no_crowding_in_choice():
-    placement._CROWDING = 0.0
+    placement._FULL_TARGET_SLOWDOWN = 0.0
 
 
 def _no_spare_slots():
--- a/bench/state.py
+++ b/bench/state.py
@@ -11,14 +11,14 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
 
-from camphorshelf_core.answers import AnswerMemory  # noqa: E402
+from camphorshelf_core.answers import AnswerCache  # noqa: E402
 from camphorshelf_core.calls import AttemptId, Response  # noqa: E402
 from camphorshelf_core.config import Document, ServiceConfig, TargetIntent  # noqa: E402
 from camphorshelf_core.invariants import Invariants  # noqa: E402
 from camphorshelf_core.replica import Replica  # noqa: E402
 from camphorshelf_core.roster import Announcement, Entry, Member, MemberState  # noqa: E402
 from camphorshelf_core.settings import ClaimSettings, LimitSettings  # noqa: E402
-from camphorshelf_core.tickets import TicketBook  # noqa: E402
+from camphorshelf_core.tickets import TicketStore  # noqa: E402
 from camphorshelf_node.explain import Decisions  # noqa: E402
 from camphorshelf_node.http import HttpConnection  # noqa: E402
 from standins.fakes import FakeLoop, FakeStream  # noqa: E402
@@ -72,17 +72,17 @@
 
 
 def _make_answers(count):
-    memory = AnswerMemory(ClaimSettings(kept_answers=1_000_000, kept_answer_bytes=1 << 30))
+    memory = AnswerCache(ClaimSettings(kept_answers=1_000_000, kept_answer_bytes=1 << 30))
     for number in range(count):
         key = ("orders", f"key-{number:032x}")
         response = Response(200, ((b"content-type", b"application/json"),), os.urandom(512))
-        memory.keep(key, AttemptId("0123456789abcdef", number), os.urandom(32), response, 0.0)
+        memory.store(key, AttemptId("0123456789abcdef", number), os.urandom(32), response, 0.0)
     return memory
 
 
 def _make_tickets(count):
     settings = ClaimSettings(tickets=1_000_000)
-    book = TicketBook(settings, "host-1", "0123456789abcdef", b"secret", Invariants())
+    book = TicketStore(settings, "host-1", "0123456789abcdef", b"secret", Invariants())
     for _ in range(count):
         book.mint("orders", 0.0)
     return book
--- a/models/config.py
+++ b/models/config.py
@@ -5,16 +5,16 @@
 =================  =============================================================================
 confirm model
 plan               ``camphorshelf_core.confirm.plan_steps``
-read head          the ``ReadRow`` and ``_settle`` at the start of ``confirm_steps``
-swap ...           the ``SwapRow`` of ``_swap``: answered, answer lost, late, or never applied
-read back          the ``ReadRow`` and ``_settle`` inside ``_swap``
-late write lands   a ``SwapRow`` that the table applies after its answer was given up
+read head          the ``ReadRow`` and ``_find_outcome`` at the start of ``confirm_steps``
+swap ...           the ``CompareAndSetRow`` of ``_compare_and_set_head``: answered, answer lost, late, or never applied
+read back          the ``ReadRow`` and ``_find_outcome`` inside ``_compare_and_set_head``
+late write lands   a ``CompareAndSetRow`` that the table applies after its answer was given up
 spread model
-asks, answered     ``Configuration._read_head`` and ``_ask``, ``HeldVersion.on_head``, ``on_peer``
-fetches            ``Configuration._fetch`` and ``HeldVersion.adopt``
-freezes, wakes     ``HeldVersion.run`` and ``_begin``
-restarts           a new ``HeldVersion``
-serving            ``HeldVersion.find_refusal`` gives None
+asks, answered     ``Configuration._read_head`` and ``_ask``, ``LocalVersion.on_head``, ``on_peer``
+fetches            ``Configuration._fetch`` and ``LocalVersion.install``
+freezes, wakes     ``LocalVersion.record_activity`` and ``_begin_epoch``
+restarts           a new ``LocalVersion``
+serving            ``LocalVersion.find_refusal`` gives None
 =================  =============================================================================
 """
 
--- a/packages/core/src/camphorshelf_core/answers.py
+++ b/packages/core/src/camphorshelf_core/answers.py
@@ -8,7 +8,7 @@
 _OVERHEAD_BYTES = 400
 
 
-class KeptAnswer(NamedTuple):
+class CachedAnswer(NamedTuple):
     """A finished call: who asked what, and what came of it."""
 
     attempt: object
@@ -18,7 +18,7 @@
     finished_at: float
 
 
-class AnswerMemory:
+class AnswerCache:
     """Keeps answers by key, within a count, a number of bytes and an age."""
 
     def __init__(self, settings):
@@ -40,7 +40,7 @@
         """How many answers had to go before their age."""
         return self._dropped
 
-    def keep(self, key, attempt, digest, result, now):
+    def store(self, key, attempt, digest, result, now):
         """Keep an answer, dropping the oldest ones where there is no room.
 
         :param key: what the caller names the call by.
@@ -52,7 +52,7 @@
         """
         self.drop(key)
         size = _size(result)
-        self._answers[key] = KeptAnswer(attempt, digest, result, size, now)
+        self._answers[key] = CachedAnswer(attempt, digest, result, size, now)
         self._bytes += size
         self._trim(now)
 
@@ -61,7 +61,7 @@
 
         :param key: the key.
         :param now: seconds on the monotonic clock.
-        :return: the :class:`KeptAnswer`, or None.
+        :return: the :class:`CachedAnswer`, or None.
         """
         self._trim(now)
         return self._answers.get(key)
--- a/packages/core/src/camphorshelf_core/attempts.py
+++ b/packages/core/src/camphorshelf_core/attempts.py
@@ -21,7 +21,7 @@
     FORGOTTEN = "forgotten"
 
 
-class AttemptLedger:
+class AttemptRegistry:
     """A bounded record of attempts that were started or voided.
 
     When it is full the oldest attempt is forgotten and the floor of its incarnation raised to
@@ -71,7 +71,7 @@
             self._record(attempt, AttemptState.VOIDED)
         return self.state(attempt) is AttemptState.VOIDED
 
-    def withdraw(self, attempt):
+    def mark_voided(self, attempt):
         """Void an attempt that was sent on, once the far end has said that it did not run.
 
         :param attempt: the attempt.
--- a/packages/core/src/camphorshelf_core/claimactions.py
+++ b/packages/core/src/camphorshelf_core/claimactions.py
@@ -40,7 +40,7 @@
 
 
 class RunCall(NamedTuple):
-    """Dispatch the call; its result is due at :meth:`ClaimBook.on_result`."""
+    """Dispatch the call; its result is due at :meth:`ClaimTracker.on_result`."""
 
     key: ClaimKey
     attempt: AttemptId
--- a/packages/core/src/camphorshelf_core/claimrefusals.py
+++ b/packages/core/src/camphorshelf_core/claimrefusals.py
@@ -6,13 +6,13 @@
 _RETRY_MS = 1_000
 
 
-def refuse_unavailable(is_proven):
+def refuse_unavailable(is_known_not_run):
     """Refuse a call whose claim could not be written.
 
-    :param is_proven: whether the key had surely not run when this was learnt.
+    :param is_known_not_run: whether the key had surely not run when this was learnt.
     :return: the :class:`Refusal`.
     """
-    if is_proven:
+    if is_known_not_run:
         ran, reason = Ran.NOT_RUN, "the key could not be claimed in the platform's table"
     else:
         # This request will never run, but an earlier send of the key may have, and with the
--- a/packages/core/src/camphorshelf_core/claims.py
+++ b/packages/core/src/camphorshelf_core/claims.py
@@ -12,8 +12,8 @@
 
 from returns.result import Success
 
-from .answers import AnswerMemory
-from .attempts import AttemptLedger, AttemptState
+from .answers import AnswerCache
+from .attempts import AttemptRegistry, AttemptState
 from .calls import AttemptId, Response
 from .claimactions import AskOwner, MarkClaim, ReadClaim, RunCall, Settle, Waiter, WriteClaim
 from .claimrecords import ClaimRecord, OwnerReply, OwnerState, RecordState, unpack_record
@@ -52,11 +52,11 @@
         self.version = None
         self.met_version = None
         self.may_be_written = False
-        self.is_proven = False
+        self.is_known_not_run = False
         self.takeovers = 0
 
 
-class ClaimBook:
+class ClaimTracker:
     """The calls under callers' keys that this node owns or pursues.
 
     Each method takes one event and returns the actions that follow from it.
@@ -76,8 +76,8 @@
         self._next_attempt = next_attempt
         self._random = random
         self._invariants = invariants
-        self._ledger = AttemptLedger()
-        self._answers = AnswerMemory(settings)
+        self._ledger = AttemptRegistry()
+        self._answers = AnswerCache(settings)
         self._claims = {}
 
     @property
@@ -125,7 +125,7 @@
         if claim is not None:
             claim.waiters.append(waiter)
             # What was learnt before this waiter came proves nothing at its time.
-            claim.is_proven = False
+            claim.is_known_not_run = False
             return []
         claim = self._claims[key] = _Claim(key, digest, waiter)
         return self._write(claim, None)
@@ -150,10 +150,10 @@
             # took effect would be refused and its key left to a node that will not run it.
             claim.may_be_written = True
             return self._read(claim)
-        claim.is_proven = False
+        claim.is_known_not_run = False
         if written.row is None:
             return self._read(claim)
-        return self._meet(claim, written.row)
+        return self._handle_existing_row(claim, written.row)
 
     def on_read(self, key, attempt, result):
         """Take the outcome of a :class:`ReadClaim`.
@@ -172,9 +172,9 @@
         # No row, or still the void one that the write was to replace: at this moment the key
         # had not run, whoever sent it before. The write may land later all the same.
         if row is None or row.version == claim.expected:
-            claim.is_proven = True
+            claim.is_known_not_run = True
             return self._give_up(claim)
-        return self._meet(claim, row)
+        return self._handle_existing_row(claim, row)
 
     def on_owner(self, key, attempt, reply):
         """Take what the owner said to an :class:`AskOwner`.
@@ -185,7 +185,7 @@
         :return: a list of actions.
         """
         claim = self._find(key, attempt, _Phase.ASKING)
-        return [] if claim is None else self._heed(claim, reply)
+        return [] if claim is None else self._apply_owner_reply(claim, reply)
 
     def on_result(self, key, attempt, result, now):
         """Take the result of a dispatched call.
@@ -202,14 +202,14 @@
         del self._claims[key]
         state = _final_state(result)
         if state is RecordState.VOIDED:
-            self._ledger.withdraw(attempt)
+            self._ledger.mark_voided(attempt)
         else:
-            self._answers.keep(key, attempt, claim.digest, result, now)
+            self._answers.store(key, attempt, claim.digest, result, now)
         record = self._record(claim)._replace(state=state, answer=self._small(result))
         mark = MarkClaim(key, record, claim.version, self._draw_version())
         return [*self._settle(claim, result, now), mark]
 
-    def leave(self, key, token):
+    def remove_waiter(self, key, token):
         """Let a waiter go that no longer waits.
 
         A call that was not dispatched yet and that nobody waits for is voided.
@@ -226,7 +226,7 @@
             return []
         return self._give_up(claim)
 
-    def ask(self, key, attempt, token, now):
+    def query_attempt(self, key, attempt, token, now):
         """Answer a peer that met a claim of this node.
 
         :param key: the claim's key.
@@ -241,7 +241,7 @@
             return None
         return self._word(key, attempt, now)
 
-    def leave_ask(self, key, attempt, token):
+    def cancel_query(self, key, attempt, token):
         """Let a peer go that asked and no longer waits.
 
         :param key: the claim's key.
@@ -249,7 +249,7 @@
         :param token: the prober's.
         :return: a list of actions.
         """
-        return self.leave(key, _PeerToken(token, attempt))
+        return self.remove_waiter(key, _PeerToken(token, attempt))
 
     def next_mark(self, mark, written):
         """Decide what follows from a try to mark a claim.
@@ -303,7 +303,7 @@
         claim.phase = _Phase.RUNNING
         return [RunCall(claim.key, claim.attempt)]
 
-    def _meet(self, claim, row):
+    def _handle_existing_row(self, claim, row):
         """Go on from a row that stands in the way, which may be this claim's own."""
         record = unpack_record(row.data)
         if record.attempt == claim.attempt and record.state is RecordState.OPEN:
@@ -319,11 +319,11 @@
             return self._take_over(claim, row.version)
         claim.met_version = row.version
         if record.attempt.incarnation == claim.attempt.incarnation:
-            return self._heed(claim, self._own_word(record.attempt))
+            return self._apply_owner_reply(claim, self._registry_reply(record.attempt))
         claim.phase = _Phase.ASKING
         return [AskOwner(claim.key, claim.attempt, record)]
 
-    def _own_word(self, attempt):
+    def _registry_reply(self, attempt):
         is_void = self._ledger.state(attempt) is AttemptState.VOIDED
         return OwnerReply(OwnerState.VOIDED if is_void else OwnerState.FORGOTTEN)
 
@@ -331,9 +331,9 @@
         kept = self._answers.find(key, now)
         if kept is not None and kept.attempt == attempt:
             return OwnerReply(OwnerState.FINISHED, kept.result)
-        return self._own_word(attempt)
+        return self._registry_reply(attempt)
 
-    def _heed(self, claim, reply):
+    def _apply_owner_reply(self, claim, reply):
         if reply.state is OwnerState.FINISHED:
             return self._repeat(claim, reply.result)
         if reply.state is OwnerState.VOIDED:
@@ -344,7 +344,7 @@
         claim.takeovers += 1
         if claim.takeovers > _MAX_TAKEOVERS:
             return self._refuse(claim, refuse_contended())
-        claim.is_proven = True
+        claim.is_known_not_run = True
         return self._write(claim, version)
 
     def _give_up(self, claim):
@@ -364,8 +364,8 @@
 
     def _refuse_one(self, claim, waiter, refusal):
         if isinstance(waiter.token, _PeerToken):
-            return Settle(waiter.token.token, self._own_word(waiter.token.attempt))
-        result = refusal or refuse_unavailable(claim.is_proven or waiter.is_first)
+            return Settle(waiter.token.token, self._registry_reply(waiter.token.attempt))
+        result = refusal or refuse_unavailable(claim.is_known_not_run or waiter.is_first)
         return Settle(waiter.token, result)
 
     def _repeat(self, claim, result):
--- a/packages/core/src/camphorshelf_core/config.py
+++ b/packages/core/src/camphorshelf_core/config.py
@@ -51,7 +51,7 @@
     after: object
 
 
-class Confirmed(NamedTuple):
+class ConfirmedVersion(NamedTuple):
     """One confirmed version: its number, its plan and its body, the last two by digest."""
 
     version: int
@@ -68,7 +68,7 @@
     planned_at: int = 0
     confirmed_by: tuple[str, ...] = ()
     changes: tuple[Change, ...] = ()
-    recent: tuple[Confirmed, ...] = ()
+    recent: tuple[ConfirmedVersion, ...] = ()
     services: dict[str, ServiceConfig] = {}
 
 
@@ -80,7 +80,7 @@
     plan: str
 
 
-def digest_of(data):
+def sha256_hex(data):
     """Give the name of a body or plan.
 
     :param data: its bytes.
@@ -110,7 +110,7 @@
         return document._replace(
             confirmed_by=tuple(document.confirmed_by),
             changes=tuple(Change(*change) for change in document.changes),
-            recent=tuple(Confirmed(*entry) for entry in document.recent),
+            recent=tuple(ConfirmedVersion(*entry) for entry in document.recent),
             services={name: _service(fields) for name, fields in document.services.items()},
         )
     except (cbor2.CBORDecodeError, TypeError, ValueError, AttributeError) as error:
@@ -149,4 +149,4 @@
 
 EMPTY_DOCUMENT = Document()
 EMPTY_BODY = encode_document(EMPTY_DOCUMENT)
-EMPTY_HEAD = Head(0, digest_of(EMPTY_BODY), "")
+EMPTY_HEAD = Head(0, sha256_hex(EMPTY_BODY), "")
--- a/packages/core/src/camphorshelf_core/confirm.py
+++ b/packages/core/src/camphorshelf_core/confirm.py
@@ -19,7 +19,7 @@
     Head,
     decode_document,
     decode_head,
-    digest_of,
+    sha256_hex,
     encode_head,
 )
 from .errors import Code, Refusal
@@ -51,7 +51,7 @@
     key: str
 
 
-class SwapRow(NamedTuple):
+class CompareAndSetRow(NamedTuple):
     """Write a row if its version is ``expected`` (None: if absent); True, False or ``UNKNOWN``.
 
     The row's version in the table is the configuration's own number, so the condition that the
@@ -77,14 +77,14 @@
     data: bytes
 
 
-class Planned(NamedTuple):
+class StoredPlan(NamedTuple):
     """A stored plan and its digest."""
 
     plan: Plan
     digest: str
 
 
-class InForce(NamedTuple):
+class ConfirmResult(NamedTuple):
     """The end of a confirm that won: its version, and the newest head with its body."""
 
     version: int
@@ -123,7 +123,7 @@
     :param operator: the :class:`~camphorshelf_core.teams.Operator`.
     :param targets: service -> target -> slots.
     :param planned_at: seconds of the wall clock.
-    :return: a generator that ends with :class:`Planned` or a refusal.
+    :return: a generator that ends with :class:`StoredPlan` or a refusal.
     """
     try:
         head, document = yield from _read_newest()
@@ -131,8 +131,8 @@
         if not isinstance(result, Success):
             return result.failure()
         data = encode_plan(result.unwrap())
-        yield from _write(plan_key(digest_of(data)), data)
-        return Planned(result.unwrap(), digest_of(data))
+        yield from _write(plan_key(sha256_hex(data)), data)
+        return StoredPlan(result.unwrap(), sha256_hex(data))
     except _RefusedError as refused:
         return refused.refusal
 
@@ -141,10 +141,10 @@
     """Read a stored plan.
 
     :param plan_digest: the plan's digest.
-    :return: a generator that ends with :class:`Planned` or a refusal.
+    :return: a generator that ends with :class:`StoredPlan` or a refusal.
     """
     try:
-        return Planned((yield from _read_plan(plan_digest)), plan_digest)
+        return StoredPlan((yield from _read_plan(plan_digest)), plan_digest)
     except _RefusedError as refused:
         return refused.refusal
 
@@ -154,13 +154,13 @@
 
     :param plan_digest: the plan's digest.
     :param operator: who confirms.
-    :return: a generator that ends with :class:`InForce` or a refusal.
+    :return: a generator that ends with :class:`ConfirmResult` or a refusal.
     """
     try:
         plan = yield from _read_plan(plan_digest)
         head = yield from _read_head()
         if head.version > plan.base:
-            return (yield from _settle(head, plan, plan_digest))
+            return (yield from _find_outcome(head, plan, plan_digest))
         base = yield from _read_body(head.digest)
         if (head.version, head.digest) != (plan.base, plan.base_digest):
             raise _RefusedError(Code.CONFLICT, "the plan was made on a version that never was")
@@ -168,7 +168,7 @@
         yield from _approve(plan, plan_digest, operator)
         new_head, body = make_next(head, base, plan, plan_digest)
         yield from _write(body_key(new_head.digest), body)
-        return (yield from _swap(head, new_head, body, plan, plan_digest))
+        return (yield from _compare_and_set_head(head, new_head, body, plan, plan_digest))
     except _RefusedError as refused:
         return refused.refusal
 
@@ -204,7 +204,7 @@
 
 
 def _read_body(digest):
-    if digest == digest_of(EMPTY_BODY):
+    if digest == sha256_hex(EMPTY_BODY):
         return decode_document(EMPTY_BODY)
     data = yield from _read_object(body_key(digest), digest)
     if data is None:
@@ -225,7 +225,7 @@
     data = yield ReadObject(key)
     if data is UNKNOWN:
         raise _platform_down()
-    if data is not None and digest_of(data) != digest:
+    if data is not None and sha256_hex(data) != digest:
         raise _RefusedError(Code.CORRUPT_CONFIGURATION, f"the object {key} is not what it was")
     return data
 
@@ -250,7 +250,7 @@
     if not others:
         return
     key = f"{plan_digest}/{operator.team}"
-    if (yield SwapRow(APPROVALS_PARTITION, key, b"1", None)) is UNKNOWN:
+    if (yield CompareAndSetRow(APPROVALS_PARTITION, key, b"1", None)) is UNKNOWN:
         raise _platform_down()
     for team in others:
         approval = yield ReadRow(APPROVALS_PARTITION, f"{plan_digest}/{team}")
@@ -260,12 +260,12 @@
             raise _RefusedError(Code.AWAITING_OWNER, f"{team} has to confirm this plan as well")
 
 
-def _swap(head, new_head, body, plan, plan_digest):
+def _compare_and_set_head(head, new_head, body, plan, plan_digest):
     expected = head.version or None
     for _ in range(_SWAP_TRIES):
-        outcome = yield SwapRow(CONFIG_PARTITION, HEAD_KEY, encode_head(new_head), expected)
+        outcome = yield CompareAndSetRow(CONFIG_PARTITION, HEAD_KEY, encode_head(new_head), expected)
         if outcome is True:
-            return InForce(new_head.version, new_head, body)
+            return ConfirmResult(new_head.version, new_head, body)
         data = yield ReadRow(CONFIG_PARTITION, HEAD_KEY)
         if data is UNKNOWN:
             continue
@@ -273,12 +273,12 @@
         # it is sent again, and the operator plans a second time what is already in force.
         seen = decode_head(data)
         if seen.version > plan.base:
-            return (yield from _settle(seen, plan, plan_digest))
+            return (yield from _find_outcome(seen, plan, plan_digest))
     reason = "the platform did not say whether the plan is in force; confirm it again"
     raise _RefusedError(Code.CONFIRM_UNKNOWN, reason, retry_after_ms=1000)
 
 
-def _settle(head, plan, plan_digest):
+def _find_outcome(head, plan, plan_digest):
     """Tell whether the version after the plan's base is this plan's own."""
     data = yield from _read_object(body_key(head.digest), head.digest)
     if data is None:
@@ -292,7 +292,7 @@
         if entry.version > plan.base + 1:
             document = yield from _read_body(entry.digest)
     if entry.version == plan.base + 1 and entry.plan == plan_digest:
-        return InForce(entry.version, head, data)
+        return ConfirmResult(entry.version, head, data)
     reason = f"version {head.version} is in force; the plan was made on {plan.base}: plan again"
     raise _RefusedError(Code.CONFLICT, reason)
 
--- a/packages/core/src/camphorshelf_core/effects.py
+++ b/packages/core/src/camphorshelf_core/effects.py
@@ -6,7 +6,7 @@
 from .intents import apply_changes
 
 
-class TargetSize(NamedTuple):
+class TargetCapacity(NamedTuple):
     """What a plan's effect is told by.
 
     :param slots: how many calls the target works on at once.
@@ -22,7 +22,7 @@
 
     :param services: the services of the base version.
     :param changes: the plan's changes.
-    :param targets: service -> target -> :class:`TargetSize`, as this node knows them now.
+    :param targets: service -> target -> :class:`TargetCapacity`, as this node knows them now.
     :return: a tuple of sentences.
     """
     after = apply_changes(services, changes)
@@ -33,12 +33,12 @@
     return tuple(lines)
 
 
-def carried_slots(services, service, targets):
+def serving_capacity(services, service, targets):
     """Count what a service's targets carry under a configuration.
 
     :param services: the services of a version.
     :param service: the service's name.
-    :param targets: target -> :class:`TargetSize`.
+    :param targets: target -> :class:`TargetCapacity`.
     :return: the pair of targets that take work and of their weighted slots.
     """
     config = services.get(service, ServiceConfig(""))
@@ -53,8 +53,8 @@
 
 
 def _describe_targets(service, before, after, targets):
-    count_before, slots_before = carried_slots(before, service, targets)
-    count_after, slots_after = carried_slots(after, service, targets)
+    count_before, slots_before = serving_capacity(before, service, targets)
+    count_after, slots_after = serving_capacity(after, service, targets)
     if (count_before, slots_before) == (count_after, slots_after):
         return
     yield (
--- a/packages/core/src/camphorshelf_core/hedge.py
+++ b/packages/core/src/camphorshelf_core/hedge.py
@@ -35,7 +35,7 @@
         """The quantile, or None while too little is known."""
         return self._value
 
-    def note(self, milliseconds):
+    def record(self, milliseconds):
         """Take in the latency of an answered call.
 
         :param milliseconds: from its first attempt to the answer.
@@ -68,7 +68,7 @@
     return method in _HEDGED_METHODS
 
 
-def is_suspect(view, sent_at, typical_ms):
+def indicates_slow_target(view, sent_at, typical_ms):
     """Tell whether an overdue call speaks against its target rather than being long work.
 
     A target that has since answered another call in the usual time is well: the call itself is
--- a/packages/core/src/camphorshelf_core/intents.py
+++ b/packages/core/src/camphorshelf_core/intents.py
@@ -17,7 +17,7 @@
 Percent = Annotated[int, Field(ge=0, le=100, strict=True)]
 
 
-class TargetWish(NamedTuple):
+class TargetUpdate(NamedTuple):
     """A target should take work or leave, and carry so much of its usual part."""
 
     service: Name
@@ -26,7 +26,7 @@
     weight: Percent | None = None
 
 
-class DomainWish(NamedTuple):
+class DomainUpdate(NamedTuple):
     """All targets of a service in a failure domain should leave, or take work again."""
 
     service: Name
@@ -34,7 +34,7 @@
     state: Literal["take", "leave"]
 
 
-class MethodWish(NamedTuple):
+class MethodUpdate(NamedTuple):
     """A method of a service is idempotent or not, and its calls are of a class."""
 
     service: Name
@@ -43,7 +43,7 @@
     request_class: Literal["interactive", "deferrable"] | None = None
 
 
-class ShareWish(NamedTuple):
+class ShareUpdate(NamedTuple):
     """A caller may hold so many of a hundred of a service's slots."""
 
     service: Name
@@ -51,21 +51,21 @@
     share: Percent
 
 
-class OwnerWish(NamedTuple):
+class OwnerUpdate(NamedTuple):
     """A service belongs to a team."""
 
     service: Name
     owner: Name
 
 
-Wish = TargetWish | DomainWish | MethodWish | ShareWish | OwnerWish
+IntentUpdate = TargetUpdate | DomainUpdate | MethodUpdate | ShareUpdate | OwnerUpdate
 
 _SHAPES = {
-    "target": TypeAdapter(TargetWish),
-    "domain": TypeAdapter(DomainWish),
-    "method": TypeAdapter(MethodWish),
-    "caller": TypeAdapter(ShareWish),
-    "owner": TypeAdapter(OwnerWish),
+    "target": TypeAdapter(TargetUpdate),
+    "domain": TypeAdapter(DomainUpdate),
+    "method": TypeAdapter(MethodUpdate),
+    "caller": TypeAdapter(ShareUpdate),
+    "owner": TypeAdapter(OwnerUpdate),
 }
 
 
@@ -168,7 +168,7 @@
 _DEFAULTS = {"state": TAKE, "weight": FULL_WEIGHT, "domain": TAKE}
 
 
-def read_wishes(changes):
+def updates_from_changes(changes):
     """Turn changes back into wishes, to plan them again on a newer version.
 
     :param changes: those of a plan that lost its race.
@@ -178,13 +178,13 @@
 
 
 _MAKERS = {
-    "owner": lambda one: OwnerWish(one.service, one.after),
-    "share": lambda one: ShareWish(one.service, one.name, one.after),
-    "idempotent": lambda one: MethodWish(one.service, one.name, idempotent=one.after),
-    "class": lambda one: MethodWish(one.service, one.name, request_class=one.after),
-    "domain": lambda one: DomainWish(one.service, one.name, one.after),
-    "state": lambda one: TargetWish(one.service, one.name, state=one.after),
-    "weight": lambda one: TargetWish(one.service, one.name, weight=one.after),
+    "owner": lambda one: OwnerUpdate(one.service, one.after),
+    "share": lambda one: ShareUpdate(one.service, one.name, one.after),
+    "idempotent": lambda one: MethodUpdate(one.service, one.name, idempotent=one.after),
+    "class": lambda one: MethodUpdate(one.service, one.name, request_class=one.after),
+    "domain": lambda one: DomainUpdate(one.service, one.name, one.after),
+    "state": lambda one: TargetUpdate(one.service, one.name, state=one.after),
+    "weight": lambda one: TargetUpdate(one.service, one.name, weight=one.after),
 }
 
 
@@ -209,13 +209,13 @@
 
 
 def _wanted(wish):
-    if isinstance(wish, OwnerWish):
+    if isinstance(wish, OwnerUpdate):
         return [("owner", "", wish.owner)]
-    if isinstance(wish, ShareWish):
+    if isinstance(wish, ShareUpdate):
         return [("share", wish.caller, wish.share)]
-    if isinstance(wish, DomainWish):
+    if isinstance(wish, DomainUpdate):
         return [("domain", wish.domain, wish.state)]
-    if isinstance(wish, MethodWish):
+    if isinstance(wish, MethodUpdate):
         pairs = (("idempotent", wish.idempotent), ("class", wish.request_class))
         return [(field, wish.method, value) for field, value in pairs if value is not None]
     pairs = (("state", wish.state), ("weight", wish.weight))
--- a/packages/core/src/camphorshelf_core/loadprobes.py
+++ b/packages/core/src/camphorshelf_core/loadprobes.py
@@ -7,7 +7,7 @@
 by its silence before a request is lost there.
 """
 
-from .placement import BROKEN_SHARE, has_room
+from .placement import MAX_FAILURE_SHARE, has_room
 
 # The two that looked best when last heard, and one more drawn from the next few: probed by all
 # entry nodes, the best two alone would get the whole load of a moment.
@@ -34,7 +34,7 @@
     unknown = [
         one.address
         for one in candidates
-        if one.is_sound and not one.is_fresh and one.address not in probed
+        if one.is_healthy and not one.is_fresh and one.address not in probed
     ]
     chosen, others = unknown[:_BEST_PROBED], unknown[_BEST_PROBED:_DRAWN_FROM]
     if others:
@@ -64,6 +64,6 @@
     :return: True or False.
     """
     status = view.status
-    is_sound = status.failing < BROKEN_SHARE / 2 and status.warming_s == 0
+    is_sound = status.failing < MAX_FAILURE_SHARE / 2 and status.warming_s == 0
     is_near_and_fast = status.domain == domain and status.slowness <= _FAST
     return is_sound and is_near_and_fast and has_room(view, now)
--- a/packages/core/src/camphorshelf_core/partners.py
+++ b/packages/core/src/camphorshelf_core/partners.py
@@ -1,6 +1,6 @@
 """Decides how often a node polls the table and which peers it asks for their version."""
 
-from .config import digest_of
+from .config import sha256_hex
 
 
 def poll_probability(members, polls_per_second, seconds):
@@ -40,4 +40,4 @@
 
 
 def _rank(one, other):
-    return digest_of(f"{one} {other}".encode())
+    return sha256_hex(f"{one} {other}".encode())
--- a/packages/core/src/camphorshelf_core/placement.py
+++ b/packages/core/src/camphorshelf_core/placement.py
@@ -10,20 +10,20 @@
 from typing import NamedTuple
 
 # How much slower a full target counts than an empty one, so that a burst finds room everywhere.
-_CROWDING = 0.2
+_FULL_TARGET_SLOWDOWN = 0.2
 # How much slower a target counts that has just started; its node tells for how long.
-_WARMING = 2.0
+_WARM_UP_SLOWDOWN = 2.0
 # A failed request costs its caller the answer, or another try and the time of both.
 _FAILURE_WEIGHT = 4.0
 # From here on a target gets no work while another one fails less.
-BROKEN_SHARE = 0.5
+MAX_FAILURE_SHARE = 0.5
 # Traffic between failure domains is paid for. Where a near target has a free slot and answers well
 # within the latency objective, a faster one elsewhere is of no use to the caller; otherwise the
 # near one is preferred between equals.
-_COMFORT = 0.5
-_FAR_FACTOR = 1.08
-_FAR_SECONDS = 0.002
-_PACE_BOUNDS = (0.5, 12.0)
+_NEAR_OBJECTIVE_SHARE = 0.5
+_CROSS_DOMAIN_COST_FACTOR = 1.08
+_CROSS_DOMAIN_SECONDS = 0.002
+_RELATIVE_WORK_BOUNDS = (0.5, 12.0)
 # A probed load that is older says nothing: the host counts as usual until it is probed again.
 _LOAD_SECONDS = 0.6
 _USUAL_SLOWNESS = 1.0
@@ -42,7 +42,7 @@
         and a distance that is paid for are worth.
     :param wait_s: the part of that which is spent waiting for a slot.
     :param is_fresh: whether its load is known as of this moment.
-    :param is_sound: whether it was heard lately and does not fail most of its requests.
+    :param is_healthy: whether it was heard lately and does not fail most of its requests.
     """
 
     address: str
@@ -50,10 +50,10 @@
     cost_s: float
     wait_s: float
     is_fresh: bool
-    is_sound: bool
+    is_healthy: bool
 
 
-def rank(views, work_s, now, domain, objective_left_s):
+def rank_targets(views, work_s, now, domain, objective_left_s):
     """Order the targets of a service by the time to the answer, near ones that are good first.
 
     :param views: the :class:`~camphorshelf_core.hosts.HostView` of the service's accepting hosts.
@@ -67,20 +67,20 @@
     near, sound, doubtful = [], [], []
     for view in views:
         status = view.status
-        wait, run = estimate(view, work_s, usual, now)
+        wait, run = estimate_times(view, work_s, usual, now)
         is_near = status.domain == domain
-        expected = wait + run if is_near else wait + run + _FAR_SECONDS
+        expected = wait + run if is_near else wait + run + _CROSS_DOMAIN_SECONDS
         # A failing target still answers as fast as it ever does: what fails there must not make a
         # request look late everywhere when all targets of its service fail a part.
-        cost = (expected if is_near else expected * _FAR_FACTOR) * (
+        cost = (expected if is_near else expected * _CROSS_DOMAIN_COST_FACTOR) * (
             1 + _FAILURE_WEIGHT * status.failing
         )
-        is_sound = not view.is_silent(now) and status.failing < BROKEN_SHARE
+        is_healthy = not view.is_silent(now) and status.failing < MAX_FAILURE_SHARE
         is_fresh = view.is_load_fresh(now)
-        candidate = Candidate(status.address, expected, cost, wait, is_fresh, is_sound)
-        if not is_sound:
+        candidate = Candidate(status.address, expected, cost, wait, is_fresh, is_healthy)
+        if not is_healthy:
             doubtful.append(candidate)
-        elif is_near and cost <= _COMFORT * objective_left_s and has_room(view, now):
+        elif is_near and cost <= _NEAR_OBJECTIVE_SHARE * objective_left_s and has_room(view, now):
             near.append(candidate)
         else:
             sound.append(candidate)
@@ -93,7 +93,7 @@
     return near + sound + doubtful
 
 
-def estimate(view, work_s, usual_work_s, now):
+def estimate_times(view, work_s, usual_work_s, now):
     """Foretell a request's time at one target.
 
     :param view: the target's :class:`~camphorshelf_core.hosts.HostView`.
@@ -106,17 +106,17 @@
     slowness = status.slowness if _is_load_known(view, now) else _USUAL_SLOWNESS
     pace = slowness
     if status.work_s > 0 and usual_work_s > 0:
-        least, most = _PACE_BOUNDS
+        least, most = _RELATIVE_WORK_BOUNDS
         pace *= min(most, max(least, status.work_s / usual_work_s))
     if status.warming_s > 0:
-        pace *= _WARMING
+        pace *= _WARM_UP_SLOWDOWN
     limit = max(1, status.limit)
     outstanding = _outstanding(view, now)
     mean = status.work_s or work_s
     wait = status.start_wait_s if _is_load_known(view, now) else 0.0
     if outstanding >= limit:
         wait = max(wait, (outstanding - limit + 1) / limit * mean * slowness)
-    run = work_s * pace * (1 + _CROWDING * min(1.0, outstanding / limit))
+    run = work_s * pace * (1 + _FULL_TARGET_SLOWDOWN * min(1.0, outstanding / limit))
     return wait, run
 
 
--- a/packages/core/src/camphorshelf_core/plans.py
+++ b/packages/core/src/camphorshelf_core/plans.py
@@ -8,10 +8,10 @@
 from .config import (
     RECENT_VERSIONS,
     Change,
-    Confirmed,
+    ConfirmedVersion,
     Document,
     Head,
-    digest_of,
+    sha256_hex,
     encode_document,
 )
 from .effects import describe_effect
@@ -39,7 +39,7 @@
     :param document: its :class:`Document`.
     :param wishes: what the operator wants.
     :param operator: who plans.
-    :param targets: service -> target -> :class:`~camphorshelf_core.effects.TargetSize`, for the
+    :param targets: service -> target -> :class:`~camphorshelf_core.effects.TargetCapacity`, for the
         words about the effect.
     :param planned_at: seconds of the wall clock, for the history only.
     :return: ``Success`` of the :class:`Plan` or ``Failure`` of a refusal.
@@ -99,7 +99,7 @@
     """
     recent = base.recent
     if base.version:
-        recent = (Confirmed(base.version, base_head.plan, base_head.digest), *recent)
+        recent = (ConfirmedVersion(base.version, base_head.plan, base_head.digest), *recent)
     document = Document(
         version=base.version + 1,
         plan=plan_digest,
@@ -111,4 +111,4 @@
         services=apply_changes(base.services, plan.changes),
     )
     body = encode_document(document)
-    return Head(document.version, digest_of(body), plan_digest), body
+    return Head(document.version, sha256_hex(body), plan_digest), body
--- a/packages/core/src/camphorshelf_core/retry.py
+++ b/packages/core/src/camphorshelf_core/retry.py
@@ -51,7 +51,7 @@
         """Whether nothing is left."""
         return self._tokens < 1
 
-    def note_fresh(self):
+    def record_call(self):
         """Count a fresh call.
 
         :return: None.
@@ -77,14 +77,14 @@
         self._tokens -= 1
 
 
-class Verdict(NamedTuple):
+class RetryDecision(NamedTuple):
     """Whether to retry, and why."""
 
     retry: bool
     reason: str
 
 
-class Tried(NamedTuple):
+class RetryContext(NamedTuple):
     """A call as it stands after an attempt: what may still be done for it."""
 
     idempotent: bool
@@ -93,27 +93,27 @@
     expected_ms: float
 
 
-def judge(result, tried, budget):
+def decide_retry(result, tried, budget):
     """Decide whether a result is final.
 
     :param result: the :class:`Response` or refusal of an attempt.
-    :param tried: the :class:`Tried` call.
+    :param tried: the :class:`RetryContext` call.
     :param budget: the entry node's :class:`ShareBudget`; spent when the verdict is to retry.
-    :return: the :class:`Verdict`.
+    :return: the :class:`RetryDecision`.
     """
     if not is_failure(result):
-        return Verdict(False, "answered")
-    if spent_below(result):
-        return Verdict(False, "retried further down")
+        return RetryDecision(False, "answered")
+    if is_retry_spent_downstream(result):
+        return RetryDecision(False, "retried further down")
     if not _is_repeatable(result, tried.idempotent):
-        return Verdict(False, "may have run")
+        return RetryDecision(False, "may have run")
     if tried.retries_left < 1:
-        return Verdict(False, "path's retries spent")
+        return RetryDecision(False, "path's retries spent")
     if tried.remaining_ms <= tried.expected_ms:
-        return Verdict(False, "no time left")
+        return RetryDecision(False, "no time left")
     if not budget.spend():
-        return Verdict(False, "node's retry budget spent")
-    return Verdict(True, "retry")
+        return RetryDecision(False, "node's retry budget spent")
+    return RetryDecision(True, "retry")
 
 
 def is_failure(result):
@@ -125,7 +125,7 @@
     return not isinstance(result, Response) or result.status in FAILURE_STATUSES
 
 
-def blames_target(result):
+def is_target_fault(result):
     """Tell whether a result speaks against the target that gave it.
 
     A full queue, a missed deadline at the gate or a 4xx does not: the first two are load, which
@@ -152,7 +152,7 @@
     return min(RETRIES_PER_PATH, int(value[:3]))
 
 
-def spent_below(result):
+def is_retry_spent_downstream(result):
     """Tell whether the path's retry was spent by a call further down.
 
     :param result: a :class:`Response` or refusal.
@@ -161,17 +161,17 @@
     return isinstance(result, Response) and header(result.headers, RETRIES_LEFT_HEADER) == b"0"
 
 
-def left_after(result, left):
+def retries_left_after(result, left):
     """Tell what a failure passed upwards leaves of the path's retries.
 
     :param result: the final :class:`Response` or refusal.
     :param left: what this level has left.
     :return: 0 when a call further down has spent it, else what this level has left.
     """
-    return 0 if spent_below(result) else left
+    return 0 if is_retry_spent_downstream(result) else left
 
 
-def spread(milliseconds, random):
+def add_jitter(milliseconds, random):
     """Spread a time to wait, so that those refused together do not return together.
 
     :param milliseconds: the middle of the spread.
--- a/packages/core/src/camphorshelf_core/retrybudget.py
+++ b/packages/core/src/camphorshelf_core/retrybudget.py
@@ -20,7 +20,7 @@
 _KEPT_SECONDS = 2.0
 
 
-class RetryTerms(NamedTuple):
+class RetryLimits(NamedTuple):
     """What operators allow for one service, over all nodes.
 
     :param ratio: retries for each request.
@@ -43,7 +43,7 @@
         self._all = _Pool(terms, 1.0, now)
         self._reruns = _Pool(terms, _RERUN_SHARE, now)
 
-    def share_among(self, nodes):
+    def set_node_count(self, nodes):
         """Take the number of nodes that draw on the same allowance.
 
         :param nodes: how many, this one included.
@@ -51,7 +51,7 @@
         """
         self._nodes = max(1, nodes)
 
-    def note_request(self, now):
+    def record_request(self, now):
         """Count a request of a caller.
 
         :param now: seconds on the monotonic clock.
@@ -59,7 +59,7 @@
         """
         for pool in (self._all, self._reruns):
             pool.pass_time(now, self._nodes)
-            pool.note_request()
+            pool.record_request()
 
     def spend(self, now, is_rerun=False):
         """Take one retry if there is one.
@@ -90,7 +90,7 @@
         self._from_time = self._slack
         self._at = now
 
-    def note_request(self):
+    def record_request(self):
         self._from_requests += self._ratio
 
     def draw(self, random):
--- a/packages/core/src/camphorshelf_core/routes.py
+++ b/packages/core/src/camphorshelf_core/routes.py
@@ -6,7 +6,7 @@
 _FIRST_TURNS = 100
 
 
-class Part(NamedTuple):
+class WeightedService(NamedTuple):
     """One service of a route and its share of the route's requests.
 
     :param service: the service's name.
@@ -28,7 +28,7 @@
     :param timeout_s: the longest time that a caller is kept waiting.
     :param objective_s: the latency objective, within which an answer is worth most to its caller.
     :param priority: 0 is served first.
-    :param parts: the services that share the route's requests.
+    :param weighted_services: the services that share the route's requests.
     """
 
     name: str
@@ -39,10 +39,10 @@
     timeout_s: float
     objective_s: float
     priority: int
-    parts: tuple
+    weighted_services: tuple
 
 
-class ServiceTerms(NamedTuple):
+class ServiceSettings(NamedTuple):
     """What is configured for one service.
 
     :param health_path: the path that tells a target's health and load.
@@ -98,7 +98,7 @@
         return None
 
 
-class PartPicker:
+class ServicePicker:
     """Shares a route's requests among its parts, as exactly as whole requests allow.
 
     Random draws would leave a part of 10 % with 7 to 13 of 100 requests; here each part is within
@@ -116,26 +116,26 @@
         :param route: the :class:`Route`.
         :return: the service's name.
         """
-        if len(route.parts) == 1:
-            return route.parts[0].service
-        credits = self._credits.get((route.name, route.parts))
+        if len(route.weighted_services) == 1:
+            return route.weighted_services[0].service
+        credits = self._credits.get((route.name, route.weighted_services))
         if credits is None:
             credits = self._start(route)
-        return route.parts[_take_turn(route.parts, credits)].service
+        return route.weighted_services[_take_turn(route.weighted_services, credits)].service
 
-    def keep(self, routes):
+    def retain_routes(self, routes):
         """Forget routes and weights that are no longer configured.
 
         :param routes: the routes in force.
         :return: None.
         """
-        live = {(route.name, route.parts) for route in routes}
+        live = {(route.name, route.weighted_services) for route in routes}
         self._credits = {key: value for key, value in self._credits.items() if key in live}
 
     def _start(self, route):
-        credits = self._credits[route.name, route.parts] = [0.0] * len(route.parts)
+        credits = self._credits[route.name, route.weighted_services] = [0.0] * len(route.weighted_services)
         for _ in range(self._random.randrange(_FIRST_TURNS)):
-            _take_turn(route.parts, credits)
+            _take_turn(route.weighted_services, credits)
         return credits
 
 
--- a/packages/core/src/camphorshelf_core/routing.py
+++ b/packages/core/src/camphorshelf_core/routing.py
@@ -56,7 +56,7 @@
     candidate: Candidate
     score: float
     expected_ms: float
-    looks_free: bool
+    has_free_slot: bool
     reason: str
 
 
@@ -76,7 +76,7 @@
             return None
         typical = typical_latency(candidates)
         half_life = settings.report_half_life * typical / 1000
-        crowd = typical_crowd(candidates, half_life)
+        crowd = mean_others_in_flight(candidates, half_life)
 
         def score(candidate):
             cost = expected_ms(candidate, typical, crowd, half_life)
@@ -84,7 +84,7 @@
                 cost += settings.domain_cost_ms
             return cost
 
-        drawn = draw(usable, failure_domain, settings.choices, random)
+        drawn = sample_targets(usable, failure_domain, settings.choices, random)
         # In random order: equal scores are common when idle, and the first one drawn wins.
         random.shuffle(drawn)
         best = min(drawn, key=score)
@@ -93,14 +93,14 @@
             candidate=best,
             score=score(best),
             expected_ms=typical,
-            looks_free=load + 1 <= best.slots * best.weight,
+            has_free_slot=load + 1 <= best.slots * best.weight,
             reason=f"best of {len(drawn)} drawn from {len(usable)}",
         )
 
     return choose
 
 
-def draw(known, failure_domain, count, random):
+def sample_targets(known, failure_domain, count, random):
     """Draw some targets at random, half of them near where there are as many.
 
     The near ones are looked at each time, and the far ones often enough to take the spill before
@@ -108,7 +108,7 @@
 
     :param known: candidates or members.
     :param failure_domain: the entry node's own.
-    :param count: how many to draw.
+    :param count: how many to sample_targets.
     :param random: a ``random.Random``.
     :return: a new list.
     """
@@ -156,7 +156,7 @@
     return known[len(known) // 2] if known else _FALLBACK_LATENCY_MS
 
 
-def typical_crowd(candidates, half_life):
+def mean_others_in_flight(candidates, half_life):
     """Find how many calls of others a target has on average, fresh reports counting more.
 
     :param candidates: all candidates of the service.
@@ -178,7 +178,7 @@
     report then neither attracts nor repels, and no herd forms around it.
 
     :param candidate: the target.
-    :param crowd: the average from :func:`typical_crowd`.
+    :param crowd: the average from :func:`mean_others_in_flight`.
     :param half_life: seconds in which a report loses half its weight.
     :return: a number of calls.
     """
--- a/packages/core/src/camphorshelf_core/spill.py
+++ b/packages/core/src/camphorshelf_core/spill.py
@@ -12,7 +12,7 @@
 _MARGIN = 1.5
 
 
-class RoundTrip:
+class RoundTripEstimate:
     """The smoothed time of a message to another node and back."""
 
     def __init__(self):
@@ -28,7 +28,7 @@
         """How long a call may wait for a slot before it had better go on."""
         return self._milliseconds * _MARGIN
 
-    def note(self, milliseconds):
+    def record(self, milliseconds):
         """Take in how long a message took that the other node answered at once.
 
         :param milliseconds: from sending to the answer.
@@ -37,7 +37,7 @@
         self._milliseconds += _SMOOTHING * (milliseconds - self._milliseconds)
 
 
-def takes_now(load, longest_wait_ms):
+def can_start_within(load, longest_wait_ms):
     """Tell whether a target has a slot for a call soon enough.
 
     :param load: the target's :class:`~camphorshelf_core.load.LoadReport` of this moment.
--- a/packages/core/src/camphorshelf_core/tickets.py
+++ b/packages/core/src/camphorshelf_core/tickets.py
@@ -23,12 +23,12 @@
 
 
 class Ticket(NamedTuple):
-    """A ticket's parts; ``proof`` shows that its node minted it, for one service."""
+    """A ticket's parts; ``mac`` shows that its node minted it, for one service."""
 
     node: str
     incarnation: str
     number: int
-    proof: str
+    mac: str
 
 
 class TicketStep(Enum):
@@ -39,7 +39,7 @@
     ANSWER = "answer"
 
 
-class Taken(NamedTuple):
+class TicketDecision(NamedTuple):
     """The step for a call, and the result when it is ``ANSWER``."""
 
     step: TicketStep
@@ -63,7 +63,7 @@
         self.changed_at = now
 
 
-class TicketBook:
+class TicketStore:
     """The tickets that one process has minted, as many as it may remember.
 
     Numbers only grow, and a number that was minted but is not remembered never runs: whatever
@@ -106,33 +106,33 @@
             return Refusal(Code.TICKETS_FULL, reason, retry_after_ms=_FULL_RETRY_MS)
         self._minted += 1
         self._records[self._minted] = _Record(now)
-        proof = self._prove(service, self._minted)
-        return format_ticket(Ticket(self._node, self._incarnation, self._minted, proof))
+        mac = self._prove(service, self._minted)
+        return format_ticket(Ticket(self._node, self._incarnation, self._minted, mac))
 
-    def take(self, ticket, service, digest, now):
+    def begin(self, ticket, service, digest, now):
         """Decide about a call under a ticket; after ``RUN`` it counts as running.
 
         :param ticket: the :class:`Ticket`.
         :param service: the call's service.
         :param digest: the call's digest.
         :param now: seconds on the monotonic clock.
-        :return: a :class:`Taken`.
+        :return: a :class:`TicketDecision`.
         """
         refusal = self._find_fault(ticket, service)
         if refusal is not None:
-            return Taken(TicketStep.ANSWER, refusal)
+            return TicketDecision(TicketStep.ANSWER, refusal)
         record = self._records[ticket.number]
         if record.digest is not None and record.digest != digest:
             reason = "the ticket was used for a different request"
-            return Taken(TicketStep.ANSWER, Refusal(Code.KEY_REUSED, reason))
+            return TicketDecision(TicketStep.ANSWER, Refusal(Code.KEY_REUSED, reason))
         if record.state is _State.FINISHED:
-            return Taken(TicketStep.ANSWER, record.result)
+            return TicketDecision(TicketStep.ANSWER, record.result)
         if record.state is _State.RUNNING:
-            return Taken(TicketStep.WAIT)
+            return TicketDecision(TicketStep.WAIT)
         record.state = _State.RUNNING
         record.digest = digest
         self._touch(ticket.number, now)
-        return Taken(TicketStep.RUN)
+        return TicketDecision(TicketStep.RUN)
 
     def finish(self, ticket, result, size, now):
         """Take a call's result; one that did not run leaves the ticket good for another try.
@@ -161,8 +161,8 @@
         if (ticket.node, ticket.incarnation) != (self._node, self._incarnation):
             reason = "the process that minted the ticket is gone; no other one runs it"
             return Refusal(Code.TICKET_NODE_GONE, reason, Ran.OUTCOME_UNKNOWN)
-        proof = self._prove(service, ticket.number)
-        if ticket.number > self._minted or not compare_digest(proof, ticket.proof):
+        mac = self._prove(service, ticket.number)
+        if ticket.number > self._minted or not compare_digest(mac, ticket.mac):
             reason = "the ticket was not minted by this node for this service"
             return Refusal(Code.BAD_TICKET, reason)
         if ticket.number not in self._records:
@@ -202,8 +202,8 @@
     :param ticket: the :class:`Ticket`.
     :return: the text, fit for the header ``Idempotency-Key``.
     """
-    node, incarnation, number, proof = ticket
-    return _SEPARATOR.join((PREFIX, node, incarnation, str(number), proof))
+    node, incarnation, number, mac = ticket
+    return _SEPARATOR.join((PREFIX, node, incarnation, str(number), mac))
 
 
 def parse_ticket(text):
@@ -215,10 +215,10 @@
     parts = text.split(_SEPARATOR)
     if len(parts) != _PARTS or parts[0] != PREFIX:
         return None
-    _, node, incarnation, number, proof = parts
-    if not number.isdecimal() or len(number) > _MAX_NUMBER_DIGITS or not proof.isascii():
+    _, node, incarnation, number, mac = parts
+    if not number.isdecimal() or len(number) > _MAX_NUMBER_DIGITS or not mac.isascii():
         return None
-    return Ticket(node, incarnation, int(number), proof)
+    return Ticket(node, incarnation, int(number), mac)
 
 
 def is_ticket(text):
--- a/packages/core/src/camphorshelf_core/versions.py
+++ b/packages/core/src/camphorshelf_core/versions.py
@@ -12,7 +12,7 @@
 
 from typing import NamedTuple
 
-from .config import EMPTY_BODY, EMPTY_HEAD, Document, decode_document, digest_of
+from .config import EMPTY_BODY, EMPTY_HEAD, Document, decode_document, sha256_hex
 from .errors import Code, ProtocolError, Refusal
 
 PLATFORM = "platform"
@@ -37,7 +37,7 @@
     proved: bool
 
 
-class HeldVersion:
+class LocalVersion:
     """The version in force at one node and the proof that it is not an older one."""
 
     def __init__(self, settings, now):
@@ -53,7 +53,7 @@
         self._others_known = False
         self.violations = 0
         self.rejected = 0
-        self._begin(now)
+        self._begin_epoch(now)
 
     @property
     def document(self):
@@ -90,7 +90,7 @@
         """Who proved the version in this epoch: ``PLATFORM``, ``PEERS`` or None."""
         return self._proved_by
 
-    def run(self, now, others_known):
+    def record_activity(self, now, others_known):
         """Say that the process runs; to be called several times a second and before each call.
 
         :param now: seconds on the monotonic clock.
@@ -104,10 +104,10 @@
         self._last_run = now
         self._others_known = self._others_known or others_known
         if frozen:
-            self._begin(now)
+            self._begin_epoch(now)
         return frozen
 
-    def hear(self, version, now):
+    def observe_version(self, version, now):
         """Take note that a version exists somewhere.
 
         :param version: its number.
@@ -136,7 +136,7 @@
         self._check_same(head.version, head.digest)
         self._last_contact = now
         self._needed = Need(PLATFORM, head.version)
-        behind = self.hear(head.version, now)
+        behind = self.observe_version(head.version, now)
         self._prove()
         return behind
 
@@ -151,7 +151,7 @@
         if epoch != self._epoch:
             return False
         self._check_same(answer.version, answer.digest)
-        behind = self.hear(answer.version, now)
+        behind = self.observe_version(answer.version, now)
         # Only a proved peer counts: two fresh nodes would else vouch for each other's nothing.
         if answer.proved:
             self._last_contact = now
@@ -159,7 +159,7 @@
             self._weigh_peers()
         return behind
 
-    def adopt(self, body, digest, now):
+    def install(self, body, digest, now):
         """Put a body in force if it is whole and newer.
 
         :param body: its bytes.
@@ -167,7 +167,7 @@
         :param now: seconds on the monotonic clock.
         :return: True when a newer version is now in force.
         """
-        if digest_of(body) != digest:
+        if sha256_hex(body) != digest:
             self.rejected += 1
             return False
         try:
@@ -213,7 +213,7 @@
             return "neither the platform nor any peer answers"
         return None
 
-    def _begin(self, now):
+    def _begin_epoch(self, now):
         self._epoch += 1
         self._proved_by = None
         self._needed = None
--- a/packages/node/src/camphorshelf_node/calling.py
+++ b/packages/node/src/camphorshelf_node/calling.py
@@ -6,11 +6,11 @@
 from camphorshelf_core.messages import AnswerMessage, CallMessage
 from camphorshelf_core.retry import (
     RETRIES_LEFT_HEADER,
-    Tried,
-    blames_target,
+    RetryContext,
+    is_target_fault,
     is_failure,
-    judge,
-    left_after,
+    decide_retry,
+    retries_left_after,
     read_retries_left,
 )
 
@@ -78,7 +78,7 @@
         if choice is None:
             return False
         if kind == "hedge":
-            if not (choice.looks_free and dispatcher.hedge_budget.spend()):
+            if not (choice.has_free_slot and dispatcher.hedge_budget.spend()):
                 return False
             longest_wait_ms = 0.0
         else:
@@ -173,10 +173,10 @@
             return
         if self._running and is_failure(result):
             return
-        tried = Tried(
+        tried = RetryContext(
             is_idempotent(self._method), self._retries_left, self.remaining_ms, self._expected_ms
         )
-        if judge(result, tried, dispatcher.retry_budget).retry:
+        if decide_retry(result, tried, dispatcher.retry_budget).retry:
             self._retried = True
             self._retries_left -= 1
             if self._send("retry", self._tried):
@@ -200,7 +200,7 @@
             return
         dispatcher = self._dispatcher
         self._spills += 1
-        dispatcher.keeper.round_trip.note(attempt.elapsed_ms)
+        dispatcher.keeper.round_trip.record(attempt.elapsed_ms)
         dispatcher.counts["spills"] += 1
         dispatcher.spill_budget.charge()
         # The busy answers brought fresh reports, so an attempt that may wait chooses among all.
@@ -228,12 +228,12 @@
         if is_failure(result):
             result = self._mark_spent(result)
         elapsed = (self._dispatcher.loop.now() - self._started) * 1000
-        self._dispatcher.quantile(self._exchange.service).note(elapsed)
+        self._dispatcher.quantile(self._exchange.service).record(elapsed)
         self._exchange.answer(result)
 
     def _mark_spent(self, response):
         headers = tuple(pair for pair in response.headers if pair[0] != RETRIES_LEFT_HEADER)
-        left = (RETRIES_LEFT_HEADER, b"%d" % left_after(response, self._retries_left))
+        left = (RETRIES_LEFT_HEADER, b"%d" % retries_left_after(response, self._retries_left))
         return Response(response.status, (*headers, left), response.body)
 
     def _on_deadline(self):
@@ -317,7 +317,7 @@
             self._dispatcher.keeper.note_overdue_done(self.target, given_up_ms)
 
     def note_missed(self, refusal):
-        if blames_target(refusal):
+        if is_target_fault(refusal):
             self._dispatcher.keeper.note_outcome(self._service, self.target, True)
 
     def _on_message(self, message):
@@ -340,7 +340,7 @@
         if load is not None:
             configuration = self._dispatcher.configuration
             configuration.hear_from(self._candidate.address, load.config_version)
-        failed = blames_target(result)
+        failed = is_target_fault(result)
         good = isinstance(result, Response) and not failed
         keeper.note_done(self.target, load, self.elapsed_ms if good else None)
         if failed or good:
--- a/packages/node/src/camphorshelf_node/claims.py
+++ b/packages/node/src/camphorshelf_node/claims.py
@@ -14,7 +14,7 @@
     WriteClaim,
 )
 from camphorshelf_core.claimrecords import ClaimKey, OwnerReply, OwnerState
-from camphorshelf_core.claims import ClaimBook
+from camphorshelf_core.claims import ClaimTracker
 from camphorshelf_core.errors import Code, Ran, Refusal
 from camphorshelf_core.messages import (
     ClaimAskMessage,
@@ -49,7 +49,7 @@
         owner = (settings.name, settings.listen.peers)
         next_attempt = dispatcher.next_attempt
         self._incarnation = next_attempt().incarnation
-        self._book = ClaimBook(settings.claims, owner, next_attempt, random, invariants)
+        self._book = ClaimTracker(settings.claims, owner, next_attempt, random, invariants)
         self._writer = ClaimWriter(loop, settings.claims, platform, self._book.next_mark)
         self._tokens = itertools.count(1)
         self._waiting = {}
@@ -102,7 +102,7 @@
             return
         token = next(self._tokens)
         key = ClaimKey(message.service, message.key)
-        word = self._book.ask(key, message.attempt, token, self._loop.now())
+        word = self._book.query_attempt(key, message.attempt, token, self._loop.now())
         if word is not None:
             reply(_word(word))
             return
@@ -116,7 +116,7 @@
 
         def give_up():
             give(OwnerReply(OwnerState.RUNNING))
-            self._carry_out(key, self._book.leave_ask(key, message.attempt, token))
+            self._carry_out(key, self._book.cancel_query(key, message.attempt, token))
 
         timer = self._loop.call_later(message.wait_ms / 1000, give_up)
 
@@ -218,7 +218,7 @@
         exchange = self._waiting.pop(token, None)
         if exchange is not None:
             exchange.timer.cancel()
-            self._carry_out(key, self._book.leave(key, token))
+            self._carry_out(key, self._book.remove_waiter(key, token))
 
     def _on_deadline(self, key, token):
         exchange = self._waiting.get(token)
--- a/packages/node/src/camphorshelf_node/config.py
+++ b/packages/node/src/camphorshelf_node/config.py
@@ -16,7 +16,7 @@
 from camphorshelf_core.intents import leaving_domains, leaving_targets, routing_weights
 from camphorshelf_core.messages import VersionMessage, VersionRequestMessage
 from camphorshelf_core.partners import choose_partners, poll_probability
-from camphorshelf_core.versions import HeldVersion, PeerVersion
+from camphorshelf_core.versions import LocalVersion, PeerVersion
 
 from .steps import run_steps
 
@@ -49,7 +49,7 @@
         self._open_link = open_link
         self._log = log
         self._random = random.Random(f"{incarnation} configuration")
-        self._held = HeldVersion(settings.configuration, loop.now())
+        self._held = LocalVersion(settings.configuration, loop.now())
         self._listeners = []
         self._fetching = None
         self._next_source = None
@@ -66,7 +66,7 @@
 
     @property
     def held(self):
-        """The :class:`~camphorshelf_core.versions.HeldVersion` of this node."""
+        """The :class:`~camphorshelf_core.versions.LocalVersion` of this node."""
         return self._held
 
     @property
@@ -141,7 +141,7 @@
                 0, settings.name, settings.failure_domain, held.version, held.digest, proved, body
             )
         )
-        if held.hear(message.version, now):
+        if held.observe_version(message.version, now):
             self._fetch(_Source(message.version, message.digest, message.address))
 
     def ride_on(self, link, address):
@@ -165,14 +165,14 @@
         :param version: its number.
         :return: None.
         """
-        if version > self._held.version and self._held.hear(version, self._loop.now()):
+        if version > self._held.version and self._held.observe_version(version, self._loop.now()):
             self._fetch(_Source(version, None, address))
 
     def _tick(self):
         now = self._loop.now()
         if self._peers is None and self._may_choose():
             self._find_peers()
-        if self._held.run(now, self._largest_roster > 1):
+        if self._held.record_activity(now, self._largest_roster > 1):
             self._log.info("woken after a freeze: the configuration has to be proved again")
             self._retry_seconds = _FIRST_RETRY_SECONDS
             self._ask_around()
@@ -254,7 +254,7 @@
 
     def _on_gossip(self, _key, version, value):
         digest, address = value
-        if self._held.hear(version, self._loop.now()):
+        if self._held.observe_version(version, self._loop.now()):
             self._fetch(_Source(version, digest, address))
 
     def _fetch(self, source):
@@ -290,7 +290,7 @@
             self._fetch(source)
 
     def _adopt(self, body, digest, address):
-        if not self._held.adopt(body, digest, self._loop.now()):
+        if not self._held.install(body, digest, self._loop.now()):
             return
         held = self._held
         self._weights = routing_weights(self.services)
--- a/packages/node/src/camphorshelf_node/descriptions.py
+++ b/packages/node/src/camphorshelf_node/descriptions.py
@@ -28,7 +28,7 @@
 def describe_plan(planned):
     """Tell what a plan does.
 
-    :param planned: the stored :class:`~camphorshelf_core.confirm.Planned`.
+    :param planned: the stored :class:`~camphorshelf_core.confirm.StoredPlan`.
     :return: a document.
     """
     plan = planned.plan
--- a/packages/node/src/camphorshelf_node/dispatch.py
+++ b/packages/node/src/camphorshelf_node/dispatch.py
@@ -6,7 +6,7 @@
 from camphorshelf_core.calls import AttemptId
 from camphorshelf_core.errors import Code, Refusal
 from camphorshelf_core.hedge import LatencyQuantile
-from camphorshelf_core.retry import ShareBudget, spread
+from camphorshelf_core.retry import ShareBudget, add_jitter
 from camphorshelf_core.settings import split_address
 
 from .calling import Calling
@@ -68,7 +68,7 @@
         """
         self.counts["calls"] += 1
         for budget in (self.retry_budget, self.hedge_budget, self.spill_budget):
-            budget.note_fresh()
+            budget.record_call()
         Calling(self, exchange).start()
 
     def choose(self, service, exclude=()):
@@ -92,7 +92,7 @@
 
         :return: the :class:`Refusal`.
         """
-        after = spread(_NO_TARGET_RETRY_MS, self._random)
+        after = add_jitter(_NO_TARGET_RETRY_MS, self._random)
         return Refusal(Code.NO_TARGET, "no target of the service takes work", retry_after_ms=after)
 
     def quantile(self, service):
--- a/packages/node/src/camphorshelf_node/gatekeeper.py
+++ b/packages/node/src/camphorshelf_node/gatekeeper.py
@@ -7,7 +7,7 @@
 from camphorshelf_core.load import LoadReport
 from camphorshelf_core.quarantine import Standing
 from camphorshelf_core.settings import split_address
-from camphorshelf_core.spill import takes_now
+from camphorshelf_core.spill import can_start_within
 
 from .crashes import CrashWatch
 from .drain import Drainer
@@ -120,7 +120,7 @@
         standing, name = self._quarantine.judge(call)
         if standing is Standing.REFUSED:
             work.refuse(self._quarantine.refusal(name))
-        elif self._gate.closed is None and not takes_now(self.load, call.longest_wait_ms):
+        elif self._gate.closed is None and not can_start_within(self.load, call.longest_wait_ms):
             work.refuse(Refusal(Code.TARGET_BUSY, "no slot is free soon enough"))
         elif standing is Standing.SUSPECT:
             self._isolate(work, name)
--- a/packages/node/src/camphorshelf_node/load.py
+++ b/packages/node/src/camphorshelf_node/load.py
@@ -1,11 +1,11 @@
 """The controller that keeps what this entry node knows of each target's load and health."""
 
 from camphorshelf_core.health import Health
-from camphorshelf_core.hedge import is_suspect
+from camphorshelf_core.hedge import indicates_slow_target
 from camphorshelf_core.load import LoadView
 from camphorshelf_core.ramp import ShiftingWeight, ramp_share
-from camphorshelf_core.routing import Candidate, draw
-from camphorshelf_core.spill import RoundTrip
+from camphorshelf_core.routing import Candidate, sample_targets
+from camphorshelf_core.spill import RoundTripEstimate
 from camphorshelf_core.subset import choose_subset, subset_size
 
 # Members heard of this soon after the node's own start were there before it: they are not cold.
@@ -32,7 +32,7 @@
         self._joined_at = {}
         self._subsets = {}
         self._started_at = loop.now()
-        self.round_trip = RoundTrip()
+        self.round_trip = RoundTripEstimate()
         gossip.on_member(self._on_member)
 
     @property
@@ -52,7 +52,7 @@
         # Putting a candidate together takes 5 us and more; for a whole subset that would be a
         # good part of what a call may be held up in all.
         count = settings.entry.choices + _SPARE_CANDIDATES
-        drawn = draw(self._subset(service), settings.failure_domain, count, self._random)
+        drawn = sample_targets(self._subset(service), settings.failure_domain, count, self._random)
         return [self._candidate(member, health, now) for member in drawn]
 
     def survey(self, service):
@@ -126,7 +126,7 @@
         :return: True or False.
         """
         view = self._view(target)
-        if not is_suspect(view, sent_at, typical_ms):
+        if not indicates_slow_target(view, sent_at, typical_ms):
             return False
         view.note_overdue(1)
         return True
--- a/packages/node/src/camphorshelf_node/node.py
+++ b/packages/node/src/camphorshelf_node/node.py
@@ -7,7 +7,7 @@
 
 from circuits import Component, handler
 
-from camphorshelf_core.attempts import AttemptLedger
+from camphorshelf_core.attempts import AttemptRegistry
 from camphorshelf_core.invariants import Invariants
 from camphorshelf_core.messages import (
     CallMessage,
@@ -17,7 +17,7 @@
     VersionRequestMessage,
 )
 from camphorshelf_core.settings import split_address
-from camphorshelf_core.tickets import TicketBook
+from camphorshelf_core.tickets import TicketStore
 
 from .admin import AdminServer
 from .claims import Claims, keyed_filter
@@ -99,8 +99,8 @@
         )
         self._gatekeeper.on_leaving = self._leavers.publish_own
         self._invariants = Invariants()
-        self._once = OnceGuard(self._loop, self._gatekeeper, AttemptLedger(), self._invariants)
-        self._tickets = TicketBook(
+        self._once = OnceGuard(self._loop, self._gatekeeper, AttemptRegistry(), self._invariants)
+        self._tickets = TicketStore(
             settings.claims,
             settings.name,
             self.incarnation,
--- a/packages/node/src/camphorshelf_node/once.py
+++ b/packages/node/src/camphorshelf_node/once.py
@@ -73,7 +73,7 @@
         if not isinstance(result, Refusal) or result.ran is not Ran.NOT_RUN:
             return result
         if result.code in _VOUCHED_BY_TARGET:
-            self._ledger.withdraw(call.attempt)
+            self._ledger.mark_voided(call.attempt)
             return result
         is_void = self._ledger.void(call.attempt)
         return result if self._invariants.holds("not_run_is_void", is_void) else _BROKEN
--- a/packages/node/src/camphorshelf_node/operators.py
+++ b/packages/node/src/camphorshelf_node/operators.py
@@ -7,15 +7,15 @@
 
 from camphorshelf_core.confirm import (
     MAX_HISTORY,
-    Planned,
+    StoredPlan,
     confirm_steps,
     history_steps,
     plan_steps,
     read_plan_steps,
 )
-from camphorshelf_core.effects import TargetSize
+from camphorshelf_core.effects import TargetCapacity
 from camphorshelf_core.errors import Code, Refusal
-from camphorshelf_core.intents import parse_intents, read_wishes
+from camphorshelf_core.intents import parse_intents, updates_from_changes
 from camphorshelf_core.teams import find_operator
 
 from .descriptions import describe_plan, describe_target
@@ -130,7 +130,7 @@
     def _run_plan(self, operator, wishes, on_done):
         targets = {
             service: {
-                one.target: TargetSize(one.slots, one.failure_domain)
+                one.target: TargetCapacity(one.slots, one.failure_domain)
                 for one in self._keeper.survey(service)
             }
             for service in {wish.service for wish in wishes}
@@ -140,7 +140,7 @@
 
     def _show_plan(self, operator, _request, digest, reply):
         def done(result):
-            if isinstance(result, Planned) and operator.team not in result.plan.confirmers:
+            if isinstance(result, StoredPlan) and operator.team not in result.plan.confirmers:
                 # Told in the same words as a plan that is not there: another team's plans are
                 # not to be found out by asking.
                 result = Refusal(Code.UNKNOWN_PLAN, "there is no plan of this digest")
@@ -165,7 +165,7 @@
         """Give the loser of a race what its changes would do to the winner's version."""
 
         def done(result):
-            fresh = describe_plan(result) if isinstance(result, Planned) else None
+            fresh = describe_plan(result) if isinstance(result, StoredPlan) else None
             reason = None if fresh is not None else result.reason
             reply_refusal(reply, conflict, plan=digest, fresh_plan=fresh, no_fresh_plan=reason)
 
@@ -173,7 +173,7 @@
             if isinstance(result, Refusal):
                 done(result)
             else:
-                self._run_plan(operator, read_wishes(result.plan.changes), done)
+                self._run_plan(operator, updates_from_changes(result.plan.changes), done)
 
         run_steps(read_plan_steps(digest), self._platform, plan)
 
--- a/packages/node/src/camphorshelf_node/sensing.py
+++ b/packages/node/src/camphorshelf_node/sensing.py
@@ -42,7 +42,7 @@
         if asked is not None:
             target, sent_at = asked
             self._keeper.note_report(target, message.load)
-            self._keeper.round_trip.note((self._loop.now() - sent_at) * 1000)
+            self._keeper.round_trip.record((self._loop.now() - sent_at) * 1000)
 
     def _send(self, message, address):
         data = encode(message)
--- a/packages/node/src/camphorshelf_node/steps.py
+++ b/packages/node/src/camphorshelf_node/steps.py
@@ -2,7 +2,7 @@
 
 from returns.result import Success
 
-from camphorshelf_core.confirm import UNKNOWN, ReadObject, ReadRow, SwapRow, WriteObject
+from camphorshelf_core.confirm import UNKNOWN, ReadObject, ReadRow, CompareAndSetRow, WriteObject
 from camphorshelf_core.errors import Code, ProtocolError, Refusal
 from camphorshelf_core.table import WriteOutcome
 
@@ -66,7 +66,7 @@
 
 _OPERATIONS = {
     ReadRow: _read_row,
-    SwapRow: _swap_row,
+    CompareAndSetRow: _swap_row,
     ReadObject: _read_object,
     WriteObject: _write_object,
 }
--- a/packages/node/src/camphorshelf_node/tickets.py
+++ b/packages/node/src/camphorshelf_node/tickets.py
@@ -77,7 +77,7 @@
             on_done(_bad_ticket(), self._gatekeeper.load)
             return _do_nothing
         digest = digest_of(call)
-        step, result = self._book.take(ticket, call.service, digest, self._loop.now())
+        step, result = self._book.begin(ticket, call.service, digest, self._loop.now())
         if step is TicketStep.ANSWER:
             on_done(_as_replay(result), self._gatekeeper.load)
             return _do_nothing
--- a/packages/relay/src/camphorshelf_relay/relay.py
+++ b/packages/relay/src/camphorshelf_relay/relay.py
@@ -6,7 +6,7 @@
 from camphorshelf_core.jobs import LatePolicy
 from camphorshelf_core.loadprobes import MAX_PROBE_ROUNDS, put_unanswered_last
 from camphorshelf_core.messages import DeclinedMessage, RelayedMessage, RelayMessage
-from camphorshelf_core.placement import rank
+from camphorshelf_core.placement import rank_targets
 from camphorshelf_core.retry import FAILURE_STATUSES
 from camphorshelf_core.retryafter import retry_after, retry_after_shed
 from camphorshelf_node.headers import strip_hop_by_hop
@@ -107,7 +107,7 @@
     def _rank(self, now):
         router = self._router
         views, objective_left = router.views(self._service), self._objective_at - now
-        return rank(views, self._facts.work_s, now, router.domain, objective_left)
+        return rank_targets(views, self._facts.work_s, now, router.domain, objective_left)
 
     def _offer(self, candidate, late_policy):
         now = self._loop.now()
--- a/packages/relay/src/camphorshelf_relay/router.py
+++ b/packages/relay/src/camphorshelf_relay/router.py
@@ -4,7 +4,7 @@
 from camphorshelf_core.errors import Code, Refusal
 from camphorshelf_core.loadprobes import choose_probes, is_sufficient
 from camphorshelf_core.retrybudget import RetryBudget
-from camphorshelf_core.routes import PartPicker
+from camphorshelf_core.routes import ServicePicker
 
 from .relay import Relay
 from .routebook import RouteBook
@@ -29,7 +29,7 @@
         self._gate = gate
         self._own_view = own_view
         self._own_address = settings.addresses.links.text
-        self._picker = PartPicker(random)
+        self._picker = ServicePicker(random)
         self._budgets = {}
         self.retries = {}
         self.on_outcome = lambda route, outcome, seconds: None
@@ -146,7 +146,7 @@
         :param service: the service's name.
         :return: None.
         """
-        self._budget(service).note_request(self.loop.now())
+        self._budget(service).record_request(self.loop.now())
 
     def spend_retry(self, service, is_rerun):
         """Take one from the budget of retries.
@@ -157,7 +157,7 @@
         """
         budget = self._budget(service)
         now = self.loop.now()
-        budget.share_among(len(self._peers.directory.live(now)) + 1)
+        budget.set_node_count(len(self._peers.directory.live(now)) + 1)
         granted = budget.spend(now, is_rerun)
         key = service, "granted" if granted else "denied"
         self.retries[key] = self.retries.get(key, 0) + 1
@@ -235,7 +235,7 @@
         return budget
 
     def _on_config(self, config):
-        self._picker.keep(config.routes)
+        self._picker.retain_routes(config.routes)
         self.book.keep(config.routes)
 
 
--- a/packages/relay/src/camphorshelf_relay/settings.py
+++ b/packages/relay/src/camphorshelf_relay/settings.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from camphorshelf_core.retrybudget import RetryTerms
+from camphorshelf_core.retrybudget import RetryLimits
 from camphorshelf_core.warmup import WarmUpBounds
 
 
@@ -48,7 +48,7 @@
     :param domain: its failure domain.
     :param service: the service of the target beside the node.
     :param addresses: the :class:`Addresses`.
-    :param retry: the :class:`~camphorshelf_core.retrybudget.RetryTerms` of every service.
+    :param retry: the :class:`~camphorshelf_core.retrybudget.RetryLimits` of every service.
     :param grace_s: seconds from SIGTERM until the process is killed.
     :param probes_per_s: the most health questions to the target, a second.
     :param is_first_start: whether the whole system starts for the first time.
@@ -59,7 +59,7 @@
     domain: str
     service: str
     addresses: Addresses
-    retry: RetryTerms
+    retry: RetryLimits
     grace_s: float
     probes_per_s: float
     is_first_start: bool = True
--- a/packages/relay/src/camphorshelf_relay/target.py
+++ b/packages/relay/src/camphorshelf_relay/target.py
@@ -5,7 +5,7 @@
 """
 
 from camphorshelf_core.instances import InstanceRecord
-from camphorshelf_core.routes import ServiceTerms
+from camphorshelf_core.routes import ServiceSettings
 
 from .healthprobe import HealthProbe, ProbeHandlers
 from .targetlink import TargetLink
@@ -117,11 +117,11 @@
     def configure(self, terms):
         """Take what is configured for the target's service.
 
-        :param terms: :class:`~camphorshelf_core.routes.ServiceTerms`, or None.
+        :param terms: :class:`~camphorshelf_core.routes.ServiceSettings`, or None.
         :return: None.
         """
         self._is_configured = True
-        terms = terms or ServiceTerms(None)
+        terms = terms or ServiceSettings(None)
         rate = terms.cold_rate_per_s
         self._warm_up.configure(rate, terms.cold_s, self._settings.warm_up, self._loop.now())
         self._settle("configuration")
--- a/tests/configruns.py
+++ b/tests/configruns.py
@@ -19,13 +19,13 @@
     EMPTY_HEAD,
     decode_document,
     decode_head,
-    digest_of,
+    sha256_hex,
 )
 from camphorshelf_core.confirm import (
     CONFIG_PARTITION,
     HEAD_KEY,
-    InForce,
-    Planned,
+    ConfirmResult,
+    StoredPlan,
     ReadObject,
     body_key,
     confirm_steps,
@@ -33,11 +33,11 @@
     plan_steps,
 )
 from camphorshelf_core.errors import Code
-from camphorshelf_core.intents import OwnerWish, TargetWish
+from camphorshelf_core.intents import OwnerUpdate, TargetUpdate
 from camphorshelf_core.plans import decode_plan
 from camphorshelf_core.settings import ConfigurationSettings
 from camphorshelf_core.teams import Operator
-from camphorshelf_core.versions import PEERS, PLATFORM, HeldVersion, PeerVersion
+from camphorshelf_core.versions import PEERS, PLATFORM, LocalVersion, PeerVersion
 
 _SETTINGS = ConfigurationSettings()
 _OPERATOR = Operator("flock", ("counter",))
@@ -50,7 +50,7 @@
 
     def __init__(self, name, now):
         self.name = name
-        self.held = HeldVersion(_SETTINGS, now)
+        self.held = LocalVersion(_SETTINGS, now)
         self.frozen = False
         self.stopped_at = now
         self.seen_version = 0
@@ -76,21 +76,21 @@
     @initialize()
     def own_the_service(self):
         """The service gets its owner by the ordinary way."""
-        self._plan(OwnerWish("counter", "flock"))
+        self._plan(OwnerUpdate("counter", "flock"))
         end = run_to_end(confirm_steps(self.plans[0], _OPERATOR), self.platform)
-        assert isinstance(end, InForce), end
+        assert isinstance(end, ConfirmResult), end
 
     @rule(name=st.sampled_from(["a", "b"]), weight=st.integers(0, 100))
     def plan(self, name, weight):
         """An operator plans on the newest version."""
-        self._plan(TargetWish("counter", name, weight=weight))
+        self._plan(TargetUpdate("counter", name, weight=weight))
 
     @rule(weight=st.integers(0, 100), place=st.integers(0, 6), fault=_FAULTS)
     def change(self, weight, place, fault):
         """An operator plans and confirms at once, perhaps with one answer lost."""
         faults = [Fault.NONE] * place + [fault]
         known = len(self.plans)
-        self._plan(TargetWish("counter", "a", weight=weight))
+        self._plan(TargetUpdate("counter", "a", weight=weight))
         if len(self.plans) > known:
             digest = self.plans[-1]
             self._check_end(
@@ -147,7 +147,7 @@
         if host.frozen or self.platform.down:
             return
         host.held.on_head(host.held.epoch, head, self.now)
-        host.held.adopt(self._read_body(head), head.digest, self.now)
+        host.held.install(self._read_body(head), head.digest, self.now)
 
     @rule(number=_NODES, other=_NODES, prompt=st.booleans())
     def ask_peer(self, number, other, prompt):
@@ -160,7 +160,7 @@
         answer = PeerVersion(peer.name, f"fd-{other}", held.version, held.digest, proved)
 
         def deliver():
-            host.held.adopt(body, answer.digest, self.now)
+            host.held.install(body, answer.digest, self.now)
             host.held.on_peer(epoch, answer, self.now)
 
         self._send(host, deliver, prompt)
@@ -175,7 +175,7 @@
         body = self._read_body(head)
         if corrupt:
             body = body.replace(b"flock", b"clock")
-        host.held.adopt(body, head.digest, self.now)
+        host.held.install(body, head.digest, self.now)
 
     @precondition(lambda self: self.in_flight)
     @rule(data=st.data())
@@ -225,7 +225,7 @@
         for host in self.hosts:
             held = host.held
             assert held.digest == self.truth[held.version].digest
-            assert digest_of(held.body) == held.digest
+            assert sha256_hex(held.body) == held.digest
             assert held.version >= host.seen_version
             assert held.violations == 0
             host.seen_version = held.version
@@ -236,7 +236,7 @@
         assert not self.lost & {head.plan for head in self.truth.values()}
 
     def _run(self, host):
-        if not host.frozen and host.held.run(self.now, True):
+        if not host.frozen and host.held.record_activity(self.now, True):
             self._begin_epoch(host)
 
     def _check_call(self, host):
@@ -270,7 +270,7 @@
 
     def _plan(self, wish):
         end = run_to_end(plan_steps((wish,), _OPERATOR, {}, int(self.now)), self.platform)
-        if isinstance(end, Planned) and end.digest not in self.plans:
+        if isinstance(end, StoredPlan) and end.digest not in self.plans:
             self.plans.append(end.digest)
 
     def _step(self, index, fault):
@@ -285,7 +285,7 @@
         return True
 
     def _check_end(self, digest, end):
-        if isinstance(end, InForce):
+        if isinstance(end, ConfirmResult):
             assert self.truth[end.version].plan == digest
             assert decode_document(end.body).version == end.head.version >= end.version
         elif end.code is Code.CONFLICT:
--- a/tests/fakeplatform.py
+++ b/tests/fakeplatform.py
@@ -2,7 +2,7 @@
 
 from enum import Enum
 
-from camphorshelf_core.confirm import UNKNOWN, ReadObject, ReadRow, SwapRow, WriteObject
+from camphorshelf_core.confirm import UNKNOWN, ReadObject, ReadRow, CompareAndSetRow, WriteObject
 
 
 class Fault(Enum):
@@ -53,7 +53,7 @@
         return self._swap(operation)
 
     def _swap(self, operation):
-        assert isinstance(operation, SwapRow)
+        assert isinstance(operation, CompareAndSetRow)
         place = (operation.partition, operation.key)
         _, version = self._rows.get(place, (None, None))
         if version != operation.expected:
--- a/tests/features/steps/claims_model_steps.py
+++ b/tests/features/steps/claims_model_steps.py
@@ -6,7 +6,7 @@
 
 from camphorshelf_core.calls import AttemptId, Response
 from camphorshelf_core.claimrecords import ClaimKey, ClaimRecord, RecordState, pack_record
-from camphorshelf_core.claims import ClaimBook, Waiter
+from camphorshelf_core.claims import ClaimTracker, Waiter
 from camphorshelf_core.errors import Ran
 from camphorshelf_core.table import Outage, Row, WriteOutcome, Written
 from models.claims import make_model
@@ -82,13 +82,13 @@
 @when("a waiter joins a takeover that another node has won and run")
 def join_takeover(context):
     context.told = {
-        book_class: _join_late(book_class) for book_class in (ClaimBook, claims_mutants.KeepProof)
+        book_class: _join_late(book_class) for book_class in (ClaimTracker, claims_mutants.KeepProof)
     }
 
 
 @then("the waiter is told OUTCOME_UNKNOWN, and NOT_RUN if the safeguard is left out")
 def check_told(context):
-    assert context.told[ClaimBook] is Ran.OUTCOME_UNKNOWN, context.told
+    assert context.told[ClaimTracker] is Ran.OUTCOME_UNKNOWN, context.told
     assert context.told[claims_mutants.KeepProof] is Ran.NOT_RUN, context.told
 
 
@@ -113,13 +113,13 @@
 def send_to_another(context):
     context.runs = {
         book_class: _run_after_death(book_class)
-        for book_class in (ClaimBook, claims_mutants.TakeOverOpen)
+        for book_class in (ClaimTracker, claims_mutants.TakeOverOpen)
     }
 
 
 @then("the call has run once, and twice if the safeguard is left out")
 def check_run_once(context):
-    assert context.runs == {ClaimBook: 1, claims_mutants.TakeOverOpen: 2}, context.runs
+    assert context.runs == {ClaimTracker: 1, claims_mutants.TakeOverOpen: 2}, context.runs
 
 
 def _run_after_death(book_class):
--- a/tests/features/steps/entry_parts_steps.py
+++ b/tests/features/steps/entry_parts_steps.py
@@ -15,10 +15,10 @@
 from camphorshelf_core.retry import (
     RETRIES_LEFT_HEADER,
     ShareBudget,
-    Tried,
-    blames_target,
-    judge,
-    left_after,
+    RetryContext,
+    is_target_fault,
+    decide_retry,
+    retries_left_after,
     read_retries_left,
 )
 from camphorshelf_core.roster import Member, MemberState
@@ -53,14 +53,14 @@
     left = read_retries_left(headers) if token else 1
     budget = ShareBudget(_ROOMY_SHARE)
     for _ in range(3):
-        budget.note_fresh()
+        budget.record_call()
     while True:
         if len(calls) > 200:
             return Response(503, (), b"")
         passed = ((RETRIES_LEFT_HEADER, b"%d" % left),) if token else ()
         result = _descend(level - 1, passed, calls, token)
-        if not judge(result, Tried(True, left, 1e9, 1.0), budget).retry:
-            marks = ((RETRIES_LEFT_HEADER, b"%d" % left_after(result, left)),) if token else ()
+        if not decide_retry(result, RetryContext(True, left, 1e9, 1.0), budget).retry:
+            marks = ((RETRIES_LEFT_HEADER, b"%d" % retries_left_after(result, left)),) if token else ()
             return Response(503, marks, b"")
         left -= 1
 
@@ -89,8 +89,8 @@
     budget = ShareBudget(share)
     context.retried = 0
     for _ in range(count):
-        budget.note_fresh()
-        verdict = judge(Response(503, (), b""), Tried(True, 1, 1e9, 1.0), budget)
+        budget.record_call()
+        verdict = decide_retry(Response(503, (), b""), RetryContext(True, 1, 1e9, 1.0), budget)
         context.retried += verdict.retry
 
 
@@ -101,14 +101,14 @@
 
 @when("{method:w} ends with {result}")
 def end_call(context, method, result):
-    tried = Tried(is_idempotent(method), 1, 1e9, 1.0)
-    context.verdict = judge(_result(result), tried, ShareBudget(_ROOMY_SHARE))
+    tried = RetryContext(is_idempotent(method), 1, 1e9, 1.0)
+    context.verdict = decide_retry(_result(result), tried, ShareBudget(_ROOMY_SHARE))
 
 
 @when("GET fails with {left:g} ms left where an answer takes {needed:g} ms")
 def fail_late(context, left, needed):
-    tried = Tried(True, 1, left, needed)
-    context.verdict = judge(Response(503, (), b""), tried, ShareBudget(_ROOMY_SHARE))
+    tried = RetryContext(True, 1, left, needed)
+    context.verdict = decide_retry(Response(503, (), b""), tried, ShareBudget(_ROOMY_SHARE))
 
 
 @then("it is tried again")
@@ -219,7 +219,7 @@
 
 @when("a target gives {result}")
 def give_result(context, result):
-    context.blames = blames_target(_result(result))
+    context.blames = is_target_fault(_result(result))
 
 
 @then("it does speak against it")
--- a/tests/features/steps/evacuation_steps.py
+++ b/tests/features/steps/evacuation_steps.py
@@ -20,7 +20,7 @@
     decode,
     encode,
 )
-from camphorshelf_core.routes import ServiceTerms
+from camphorshelf_core.routes import ServiceSettings
 from camphorshelf_platform.headers import DIALECT
 from camphorshelf_relay import targetlink
 from camphorshelf_relay.configkeeper import ConfigKeeper
@@ -212,7 +212,7 @@
     crashes = CrashWatch(loop, "a", _Log())
     context.gate = Gate(loop, SETTINGS, DIALECT, admission, context.target, crashes, _Log())
     # Without a health path it is not probed, so that only requests open connections.
-    context.target.configure(ServiceTerms(""))
+    context.target.configure(ServiceSettings(""))
     context.target._probe.configure(None, may_be_cold=False)
     context.target.beat(Heartbeat("i-1", 1, 1, "counter", "127.0.0.1:1", 9, False, 0.0))
     context.answers = []
--- a/tests/features/steps/load_probes_steps.py
+++ b/tests/features/steps/load_probes_steps.py
@@ -6,7 +6,7 @@
 
 from camphorshelf_core.directory import HostDirectory
 from camphorshelf_core.loadprobes import choose_probes, is_sufficient, put_unanswered_last
-from camphorshelf_core.placement import rank
+from camphorshelf_core.placement import rank_targets
 from camphorshelf_relay.prober import Prober
 from standins.fakes import FakeLoop
 from standins.hosts import make_status, make_view
@@ -49,7 +49,7 @@
         view.take(status, self.now)
 
     def rank(self):
-        return rank(self.views, _WORK_SECONDS, self.now, "a", _OBJECTIVE_SECONDS)
+        return rank_targets(self.views, _WORK_SECONDS, self.now, "a", _OBJECTIVE_SECONDS)
 
     def is_slow(self, address):
         return self.slowness[int(address[1:])] > 1.0
@@ -105,12 +105,12 @@
     heard_at = 0.0 if when == "just now" else -1.0
     views = [make_view(make_status(f"h{one}", repeat_s=0.0), heard_at) for one in range(count)]
     context.views = views
-    context.candidates = rank(views, _WORK_SECONDS, 0.0, "a", _OBJECTIVE_SECONDS)
+    context.candidates = rank_targets(views, _WORK_SECONDS, 0.0, "a", _OBJECTIVE_SECONDS)
 
 
 @when("they are ranked for work that takes no time")
 def rank_no_work(context):
-    context.candidates = rank(context.views, 0.0, 0.0, "a", 0.0)
+    context.candidates = rank_targets(context.views, 0.0, 0.0, "a", 0.0)
 
 
 @then("all {count:d} are candidates")
@@ -198,7 +198,7 @@
 def _ranked(context):
     now = context.loop.now()
     views = list(context.directory.views())
-    ranked = rank(views, _WORK_SECONDS, now, "a", _OBJECTIVE_SECONDS)
+    ranked = rank_targets(views, _WORK_SECONDS, now, "a", _OBJECTIVE_SECONDS)
     return [one.address for one in ranked]
 
 
--- a/tests/features/steps/placement_steps.py
+++ b/tests/features/steps/placement_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then
 
-from camphorshelf_core.placement import rank
+from camphorshelf_core.placement import rank_targets
 from standins.hosts import make_status, make_view
 
 _NOW = 100.0
@@ -59,7 +59,7 @@
 
 def _rank(context):
     views = list(context.views.values())
-    return rank(views, context.work_s, _NOW, context.domain, context.objective_s)
+    return rank_targets(views, context.work_s, _NOW, context.domain, context.objective_s)
 
 
 def _order(context):
--- a/tests/features/steps/platform_formats_steps.py
+++ b/tests/features/steps/platform_formats_steps.py
@@ -157,7 +157,7 @@
 
 @then("the route has {count:d} parts")
 def has_parts(context, count):
-    assert len(context.routing.routes[0].parts) == count
+    assert len(context.routing.routes[0].weighted_services) == count
 
 
 @then("a refusal {code} that {ran} is answered {status:d}")
--- a/tests/features/steps/retry_budget_steps.py
+++ b/tests/features/steps/retry_budget_steps.py
@@ -4,9 +4,9 @@
 
 from behave import given, then, when
 
-from camphorshelf_core.retrybudget import RetryBudget, RetryTerms
+from camphorshelf_core.retrybudget import RetryBudget, RetryLimits
 
-_TERMS = RetryTerms(ratio=0.2, slack=60, window_s=10)
+_TERMS = RetryLimits(ratio=0.2, slack=60, window_s=10)
 _SECONDS = 40
 
 
@@ -14,7 +14,7 @@
 def nodes_and_rate(context, nodes, rate):
     context.budgets = [RetryBudget(_TERMS, random.Random(node), 0.0) for node in range(nodes)]
     for budget in context.budgets:
-        budget.share_among(nodes)
+        budget.set_node_count(nodes)
     context.rate = rate
     context.granted = []
     context.requests = []
@@ -24,7 +24,7 @@
     for step in range(_SECONDS * context.rate):
         now = step / context.rate
         for budget in context.budgets:
-            budget.note_request(now)
+            budget.record_request(now)
             context.requests.append(now)
             if asks(now) and budget.spend(now):
                 context.granted.append(now)
@@ -64,7 +64,7 @@
     for step in range(_SECONDS * context.rate):
         now = step / context.rate
         for budget in context.budgets:
-            budget.note_request(now)
+            budget.record_request(now)
             if budget.spend(now, is_rerun=True):
                 context.reruns.append(now)
 
--- a/tests/features/steps/routes_steps.py
+++ b/tests/features/steps/routes_steps.py
@@ -5,9 +5,9 @@
 
 from behave import given, then, when
 
-from camphorshelf_core.routes import Part, PartPicker, Route, RouteTable
+from camphorshelf_core.routes import WeightedService, ServicePicker, Route, RouteTable
 
-_WHOLE = (Part("s", 1.0),)
+_WHOLE = (WeightedService("s", 1.0),)
 
 
 def _route(prefix, parts=_WHOLE, host="h.example"):
@@ -28,7 +28,7 @@
 
 def _parts(weights):
     return tuple(
-        Part(f"s{number}", float(weight)) for number, weight in enumerate(weights.split(","))
+        WeightedService(f"s{number}", float(weight)) for number, weight in enumerate(weights.split(","))
     )
 
 
@@ -47,14 +47,14 @@
 def choose(context, nodes, count):
     context.counts = []
     for number in range(nodes):
-        picker = context.pickers.setdefault(number, PartPicker(random.Random(number)))
+        picker = context.pickers.setdefault(number, ServicePicker(random.Random(number)))
         context.counts.append(Counter(picker.pick(context.route) for _ in range(count)))
     context.count = count
 
 
 def _shares(context):
-    total = sum(part.weight for part in context.route.parts)
-    return {part.service: part.weight / total for part in context.route.parts}
+    total = sum(part.weight for part in context.route.weighted_services)
+    return {part.service: part.weight / total for part in context.route.weighted_services}
 
 
 @then("each part has its share of all within {percent:d} in 100")
--- a/tests/features/steps/target_link_steps.py
+++ b/tests/features/steps/target_link_steps.py
@@ -7,7 +7,7 @@
 from camphorshelf_core.admissionqueue import AdmissionQueue
 from camphorshelf_core.calls import Request
 from camphorshelf_core.instances import Heartbeat
-from camphorshelf_core.routes import ServiceTerms
+from camphorshelf_core.routes import ServiceSettings
 from camphorshelf_platform.headers import DIALECT
 from camphorshelf_relay import targetlink
 from camphorshelf_relay.target import Target
@@ -53,7 +53,7 @@
     patch.start()
     context.add_cleanup(patch.stop)
     context.subject = Target(context.loop, SETTINGS, DIALECT, AdmissionQueue(), _Log())
-    context.subject.configure(ServiceTerms("/health"))
+    context.subject.configure(ServiceSettings("/health"))
     context.subject.beat(Heartbeat("i-1", 1, 1, "counter", "127.0.0.1:1", 9, False, 0.0))
     for _ in range(3):
         request = Request("GET", b"/", (), b"")
--- a/tests/features/steps/ticket_steps.py
+++ b/tests/features/steps/ticket_steps.py
@@ -7,7 +7,7 @@
 from camphorshelf_core.errors import Code, Ran, Refusal
 from camphorshelf_core.invariants import Invariants
 from camphorshelf_core.settings import ClaimSettings
-from camphorshelf_core.tickets import TicketBook, TicketStep, parse_ticket
+from camphorshelf_core.tickets import TicketStore, TicketStep, parse_ticket
 from standins.caller import Caller, call, render
 from standins.orders import count_runs, end_process, note_answer, send_order
 
@@ -109,13 +109,13 @@
 def make_book(context):
     context.settings = ClaimSettings(tickets=3)
     context.invariants = Invariants()
-    context.book = TicketBook(context.settings, "n", "i1", b"secret", context.invariants)
+    context.book = TicketStore(context.settings, "n", "i1", b"secret", context.invariants)
 
 
 @when("3 tickets are minted and the first one runs")
 def mint_three(context):
     context.tickets = [parse_ticket(context.book.mint("orders", 0.0)) for _ in range(3)]
-    assert context.book.take(context.tickets[0], "orders", b"d", 0.0).step is TicketStep.RUN
+    assert context.book.begin(context.tickets[0], "orders", b"d", 0.0).step is TicketStep.RUN
 
 
 @then("a fourth ticket is refused with code 245")
@@ -133,13 +133,13 @@
 def check_room(context):
     minted = [context.book.mint("orders", context.now) for _ in range(3)]
     assert [isinstance(one, Refusal) for one in minted] == [False, False, True], minted
-    taken = context.book.take(context.tickets[0], "orders", b"d", context.now)
+    taken = context.book.begin(context.tickets[0], "orders", b"d", context.now)
     assert taken.step is TicketStep.WAIT, taken
 
 
 @then("the second ticket is refused as OUTCOME_UNKNOWN")
 def check_forgotten(context):
-    step, refusal = context.book.take(context.tickets[1], "orders", b"d", context.now)
+    step, refusal = context.book.begin(context.tickets[1], "orders", b"d", context.now)
     assert step is TicketStep.ANSWER
     assert (refusal.code, refusal.ran) == (Code.TICKET_FORGOTTEN, Ran.OUTCOME_UNKNOWN)
     assert not context.invariants.broken
--- a/tests/soak/claims.py
+++ b/tests/soak/claims.py
@@ -5,7 +5,7 @@
 
 from camphorshelf_core.claimactions import RunCall
 from camphorshelf_core.claimrecords import ClaimKey
-from camphorshelf_core.claims import ClaimBook
+from camphorshelf_core.claims import ClaimTracker
 from soak.claims_world import World
 
 _NODES = st.integers(0, 2)
@@ -17,7 +17,7 @@
 class ClaimsMachine(RuleBasedStateMachine):
     """Callers send and resend; a target may run each key at most once."""
 
-    book_class = ClaimBook
+    book_class = ClaimTracker
     steps = 0
 
     def __init__(self):
--- a/tests/soak/claims_mutants.py
+++ b/tests/soak/claims_mutants.py
@@ -1,24 +1,24 @@
 """Claim books with one safeguard taken out; random runs must catch each of them."""
 
 from camphorshelf_core.claimrecords import OwnerReply, OwnerState, RecordState, unpack_record
-from camphorshelf_core.claims import ClaimBook
+from camphorshelf_core.claims import ClaimTracker
 from camphorshelf_core.table import WriteOutcome
 
 
-class DropVoid(ClaimBook):
+class DropVoid(ClaimTracker):
     """Lets a claim go on when nobody waits any more, and says that it has ended."""
 
     def is_open(self, key):
         return super().is_open(key) and bool(self._claims[key].waiters)
 
-    def leave(self, key, token):
+    def remove_waiter(self, key, token):
         claim = self._claims.get(key)
         if claim is not None:
             claim.waiters = [waiter for waiter in claim.waiters if waiter.token != token]
         return []
 
 
-class DispatchOnUnknown(ClaimBook):
+class DispatchOnUnknown(ClaimTracker):
     """Takes a write whose answer was lost for one that took effect."""
 
     def on_written(self, key, attempt, written):
@@ -27,60 +27,60 @@
         return super().on_written(key, attempt, written)
 
 
-class TakeOverOpen(ClaimBook):
+class TakeOverOpen(ClaimTracker):
     """Takes over the claim of an owner that is gone."""
 
-    def _heed(self, claim, reply):
+    def _apply_owner_reply(self, claim, reply):
         if reply.state is OwnerState.GONE:
             reply = OwnerReply(OwnerState.VOIDED)
-        return super()._heed(claim, reply)
+        return super()._apply_owner_reply(claim, reply)
 
 
-class TakeOverRunning(ClaimBook):
+class TakeOverRunning(ClaimTracker):
     """Tells a peer that a running call is void."""
 
-    def ask(self, key, attempt, token, now):
+    def query_attempt(self, key, attempt, token, now):
         if key in self._claims:
             return OwnerReply(OwnerState.VOIDED)
-        return super().ask(key, attempt, token, now)
+        return super().query_attempt(key, attempt, token, now)
 
 
-class ForgottenIsVoid(ClaimBook):
+class ForgottenIsVoid(ClaimTracker):
     """Takes an attempt that it has forgotten for one that never ran."""
 
-    def _own_word(self, attempt):
+    def _registry_reply(self, attempt):
         return OwnerReply(OwnerState.VOIDED)
 
 
-class SayNotRunUnproven(ClaimBook):
+class SayNotRunUnproven(ClaimTracker):
     """Says NOT_RUN for a key when the table cannot tell of earlier requests."""
 
     def _refuse_one(self, claim, waiter, refusal):
-        claim.is_proven = True
+        claim.is_known_not_run = True
         return super()._refuse_one(claim, waiter, refusal)
 
 
-class KeepProof(ClaimBook):
+class KeepProof(ClaimTracker):
     """Says NOT_RUN to a waiter by what was learnt before it came."""
 
     def submit(self, key, digest, waiter, now):
         claim = self._claims.get(key)
-        proven = claim is not None and claim.is_proven
+        proven = claim is not None and claim.is_known_not_run
         actions = super().submit(key, digest, waiter, now)
         if proven:
-            claim.is_proven = True
+            claim.is_known_not_run = True
         return actions
 
 
-class IgnoreDigest(ClaimBook):
+class IgnoreDigest(ClaimTracker):
     """Gives the answer to another request under the same key."""
 
-    def _meet(self, claim, row):
+    def _handle_existing_row(self, claim, row):
         claim.digest = unpack_record(row.data).digest
-        return super()._meet(claim, row)
+        return super()._handle_existing_row(claim, row)
 
 
-class UnknownIsVoid(ClaimBook):
+class UnknownIsVoid(ClaimTracker):
     """Marks a call whose outcome is unknown as void in the table."""
 
     def on_result(self, key, attempt, result, now):
--- a/tests/soak/claims_world.py
+++ b/tests/soak/claims_world.py
@@ -9,7 +9,7 @@
 from camphorshelf_core.calls import AttemptId, Response
 from camphorshelf_core.claimactions import MarkClaim, RunCall, Settle
 from camphorshelf_core.claimrecords import OwnerReply, OwnerState, pack_record
-from camphorshelf_core.claims import ClaimBook, Waiter
+from camphorshelf_core.claims import ClaimTracker, Waiter
 from camphorshelf_core.errors import Code, Ran, Refusal
 from camphorshelf_core.invariants import Invariants
 from camphorshelf_core.settings import ClaimSettings
@@ -66,7 +66,7 @@
 class World:
     """Three nodes, a table and a target; every step is chosen from outside."""
 
-    def __init__(self, book_class=ClaimBook):
+    def __init__(self, book_class=ClaimTracker):
         self._book_class = book_class
         self._started = 0
         self._sent = {}
@@ -99,7 +99,7 @@
         process = self.processes[index]
         if process.can_act and token in self._sent:
             key = self._sent[token].key
-            self._carry_out(process, process.book.leave(key, token))
+            self._carry_out(process, process.book.remove_waiter(key, token))
             if token in self._callers.get((process, key), ()) and not process.book.is_open(key):
                 # The node tells the caller NOT_RUN here if it vouched for a first send.
                 self._ended.add((process, key))
@@ -236,11 +236,11 @@
         elif pending.is_asked:
             if choice == "lose" and owner.can_act:
                 self._answer_ask(pending, OwnerReply(OwnerState.RUNNING))
-                actions = owner.book.leave_ask(key, record.attempt, pending)
+                actions = owner.book.cancel_query(key, record.attempt, pending)
                 self._carry_out(owner, actions)
         elif owner.can_act:
             pending.is_asked = True
-            reply = owner.book.ask(key, record.attempt, pending, self.now)
+            reply = owner.book.query_attempt(key, record.attempt, pending, self.now)
             if reply is not None:
                 self._answer_ask(pending, reply)
 
--- a/tests/standins/coldfleet.py
+++ b/tests/standins/coldfleet.py
@@ -12,7 +12,7 @@
 
 from camphorshelf_core.admissionqueue import AdmissionQueue
 from camphorshelf_core.jobs import Job, LatePolicy
-from camphorshelf_core.placement import rank
+from camphorshelf_core.placement import rank_targets
 from camphorshelf_core.retryafter import retry_after
 from camphorshelf_core.warmup import WarmUp, WarmUpBounds
 from standins.hosts import make_status, make_view
@@ -315,7 +315,7 @@
         left = self._objective_at - now
         candidates = [
             one
-            for one in rank(views, kind.work_s, now, "a", left)
+            for one in rank_targets(views, kind.work_s, now, "a", left)
             if one.address not in self._tried
         ]
         in_time = [one for one in candidates if now + one.expected_s <= self._objective_at]
--- a/tests/standins/simulated.py
+++ b/tests/standins/simulated.py
@@ -21,7 +21,7 @@
     PlatformSettings,
     Settings,
 )
-from camphorshelf_core.spill import takes_now
+from camphorshelf_core.spill import can_start_within
 from camphorshelf_node.dispatch import Dispatcher
 from camphorshelf_node.load import LoadKeeper
 
@@ -117,7 +117,7 @@
     def offer(self, work):
         if self._in_flight < self._slots and not self._queue:
             self._start(work)
-        elif not takes_now(self.true_load, work.message.longest_wait_ms):
+        elif not can_start_within(self.true_load, work.message.longest_wait_ms):
             work.answer(Refusal(Code.TARGET_BUSY, "busy"))
         elif len(self._queue) < self._slots * _QUEUE_PER_SLOT:
             self._queue.append(work)
