--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -41,7 +41,7 @@
 
 
 def _no_near_first():
-    placement._NEAR_OBJECTIVE_SHARE = 0.0
+    placement._LOCAL_OBJECTIVE_SHARE = 0.0
     placement._CROSS_DOMAIN_COST_FACTOR = 1.0
     placement._CROSS_DOMAIN_SECONDS = 0.0
 
--- a/packages/core/src/camphorshelf_core/placement.py
+++ b/packages/core/src/camphorshelf_core/placement.py
@@ -1,48 +1,48 @@
-"""Where a request goes: to the target that will probably finish it first.
+"""Ranks the targets of a service by the expected time to finish a request.
 
-Load pattern: hosts shared with noisy neighbours, where a target slows down for short times, unlike
-targets, and targets that fail some of their requests. Sending by load alone keeps a slow host as
-busy as a fast one; here its slowness, its own pace and what waits there are put together into one
-expected time.
+The expected time combines a target's current slowness, its usual speed and its queue. Balancing by
+load alone would keep a slow host as busy as a fast one. Hosts differ in speed, slow down for short
+periods because of noisy neighbours, and some fail a part of their requests.
 """
 
 import math
 from typing import NamedTuple
 
-# How much slower a full target counts than an empty one, so that a burst finds room everywhere.
+# Relative slowdown assumed for a full target, so that every target keeps free slots for a burst.
 _FULL_TARGET_SLOWDOWN = 0.2
-# How much slower a target counts that has just started; its node tells for how long.
+# Factor on the time of a target that has just started; its node reports for how long.
 _WARM_UP_SLOWDOWN = 2.0
-# A failed request costs its caller the answer, or another try and the time of both.
+# A failed request costs its caller the answer, or a retry and the time of both attempts.
 _FAILURE_WEIGHT = 4.0
-# From here on a target gets no work while another one fails less.
+# A target that fails this share of its requests or more is used only if no healthy one is left.
 MAX_FAILURE_SHARE = 0.5
-# Traffic between failure domains is paid for. Where a near target has a free slot and answers well
-# within the latency objective, a faster one elsewhere is of no use to the caller; otherwise the
-# near one is preferred between equals.
-_NEAR_OBJECTIVE_SHARE = 0.5
+# Traffic between failure domains costs money. A local target with a free slot is preferred if its
+# cost is within this share of the latency objective, since a faster remote target is then of no
+# use to the caller. Otherwise the local target is preferred among equals.
+_LOCAL_OBJECTIVE_SHARE = 0.5
 _CROSS_DOMAIN_COST_FACTOR = 1.08
 _CROSS_DOMAIN_SECONDS = 0.002
 _RELATIVE_WORK_BOUNDS = (0.5, 12.0)
-# A probed load that is older says nothing: the host counts as usual until it is probed again.
-_LOAD_SECONDS = 0.6
-_USUAL_SLOWNESS = 1.0
-_COST_STEP = 1.5
-_LEAST_COST_SECONDS = 0.001
-# Slots that a target which pushes its load must have free beyond the one that is taken.
+# A probed load that is older is ignored: default values apply until the host is probed again.
+_MAX_LOAD_AGE_SECONDS = 0.6
+_DEFAULT_SLOWNESS = 1.0
+_COST_ROUNDING_FACTOR = 1.5
+_MIN_COST_SECONDS = 0.001
+# Free slots, in addition to the one for the request, required at a target that pushes its load.
 _SPARE_SLOTS = 1
 
 
 class Candidate(NamedTuple):
     """A target that a request may be sent to.
 
-    :param address: its node's address for links.
-    :param expected_s: seconds to the answer, by what is known now.
-    :param cost_s: the same with what else speaks against the target: the seconds that its failures
-        and a distance that is paid for are worth.
-    :param wait_s: the part of that which is spent waiting for a slot.
-    :param is_fresh: whether its load is known as of this moment.
-    :param is_healthy: whether it was heard lately and does not fail most of its requests.
+    :param address: the address of its node for links between nodes.
+    :param expected_s: the expected time to the answer, in seconds.
+    :param cost_s: the expected time plus penalties for failures and for another failure domain,
+        in seconds.
+    :param wait_s: the part of the expected time spent waiting for a slot, in seconds.
+    :param is_fresh: whether its reported load is current.
+    :param is_healthy: whether its host was heard from recently and the target doesn't fail most of
+        its requests.
     """
 
     address: str
@@ -54,69 +54,70 @@
 
 
 def rank_targets(views, work_s, now, domain, objective_left_s):
-    """Order the targets of a service by the time to the answer, near ones that are good first.
+    """Rank the targets of a service by cost; good local targets come first.
 
     :param views: the :class:`~camphorshelf_core.hosts.HostView` of the service's accepting hosts.
-    :param work_s: the mean time of such a request where the slowness is 1.0.
+    :param work_s: the mean time of such a request in seconds at a slowness of 1.0.
     :param now: seconds on the monotonic clock.
-    :param domain: the own failure domain.
+    :param domain: the failure domain of this node.
     :param objective_left_s: what is left of the latency objective, in seconds.
     :return: a list of :class:`Candidate`, the best first.
     """
-    usual = _usual_work(views)
-    near, sound, doubtful = [], [], []
+    usual_work_s = _median_work_s(views)
+    local, healthy, unhealthy = [], [], []
     for view in views:
         status = view.status
-        wait, run = estimate_times(view, work_s, usual, now)
-        is_near = status.domain == domain
-        expected = wait + run if is_near else wait + run + _CROSS_DOMAIN_SECONDS
-        # A failing target still answers as fast as it ever does: what fails there must not make a
-        # request look late everywhere when all targets of its service fail a part.
-        cost = (expected if is_near else expected * _CROSS_DOMAIN_COST_FACTOR) * (
+        wait, run = estimate_times(view, work_s, usual_work_s, now)
+        is_local = status.domain == domain
+        expected = wait + run if is_local else wait + run + _CROSS_DOMAIN_SECONDS
+        # Failures raise the cost and not the expected time: otherwise requests would seem late at
+        # every target when all targets of a service fail a part of their requests.
+        cost = (expected if is_local else expected * _CROSS_DOMAIN_COST_FACTOR) * (
             1 + _FAILURE_WEIGHT * status.failing
         )
         is_healthy = not view.is_silent(now) and status.failing < MAX_FAILURE_SHARE
         is_fresh = view.is_load_fresh(now)
         candidate = Candidate(status.address, expected, cost, wait, is_fresh, is_healthy)
         if not is_healthy:
-            doubtful.append(candidate)
-        elif is_near and cost <= _NEAR_OBJECTIVE_SHARE * objective_left_s and has_room(view, now):
-            near.append(candidate)
+            unhealthy.append(candidate)
+        elif is_local and cost <= _LOCAL_OBJECTIVE_SHARE * objective_left_s and has_room(view, now):
+            local.append(candidate)
         else:
-            sound.append(candidate)
-    # A silent or broken target may still answer, but a caller that is sent there while another
-    # target is sound waits for its time-out.
-    for group in (sound, doubtful):
+            healthy.append(candidate)
+    # Silent or failing targets come last: they may still answer, but a caller would risk waiting
+    # for its timeout while a healthy target is available.
+    for group in (healthy, unhealthy):
         group.sort(key=_by_cost)
-    # One that is known to be good now needs no probe of another that may be better.
-    near.sort(key=_by_freshness)
-    return near + sound + doubtful
+    # Fresh candidates first: a target known to be good saves probing one that may be better.
+    local.sort(key=_by_freshness)
+    return local + healthy + unhealthy
 
 
 def estimate_times(view, work_s, usual_work_s, now):
-    """Foretell a request's time at one target.
+    """Estimate how long a request would wait and run at one target.
 
     :param view: the target's :class:`~camphorshelf_core.hosts.HostView`.
-    :param work_s: the mean time of such a request where the slowness is 1.0.
-    :param usual_work_s: mean time of the service's requests at its targets; 0.0 unknown.
+    :param work_s: the mean time of such a request in seconds at a slowness of 1.0.
+    :param usual_work_s: the median over the service's targets of their mean request times, in
+        seconds; 0.0 if unknown.
     :param now: seconds on the monotonic clock.
-    :return: seconds of waiting and seconds of running.
+    :return: the waiting time and the running time, both in seconds.
     """
     status = view.status
-    slowness = status.slowness if _is_load_known(view, now) else _USUAL_SLOWNESS
-    pace = slowness
+    slowness = status.slowness if _is_load_known(view, now) else _DEFAULT_SLOWNESS
+    relative_time = slowness
     if status.work_s > 0 and usual_work_s > 0:
-        least, most = _RELATIVE_WORK_BOUNDS
-        pace *= min(most, max(least, status.work_s / usual_work_s))
+        min_ratio, max_ratio = _RELATIVE_WORK_BOUNDS
+        relative_time *= min(max_ratio, max(min_ratio, status.work_s / usual_work_s))
     if status.warming_s > 0:
-        pace *= _WARM_UP_SLOWDOWN
+        relative_time *= _WARM_UP_SLOWDOWN
     limit = max(1, status.limit)
     outstanding = _outstanding(view, now)
-    mean = status.work_s or work_s
+    mean_s = status.work_s or work_s
     wait = status.start_wait_s if _is_load_known(view, now) else 0.0
     if outstanding >= limit:
-        wait = max(wait, (outstanding - limit + 1) / limit * mean * slowness)
-    run = work_s * pace * (1 + _FULL_TARGET_SLOWDOWN * min(1.0, outstanding / limit))
+        wait = max(wait, (outstanding - limit + 1) / limit * mean_s * slowness)
+    run = work_s * relative_time * (1 + _FULL_TARGET_SLOWDOWN * min(1.0, outstanding / limit))
     return wait, run
 
 
@@ -127,7 +128,7 @@
     :param now: seconds on the monotonic clock.
     :return: True or False.
     """
-    # What is pushed may be a tenth of a second old, and several entry nodes see the same free slot.
+    # A pushed load may be 0.1 s old, and several entry nodes see the same free slot.
     spare = _SPARE_SLOTS if view.pushes else 0
     status = view.status
     is_open = status.accepting and status.start_wait_s <= 0
@@ -135,7 +136,7 @@
 
 
 def _is_load_known(view, now):
-    return view.pushes or now - view.heard_at <= _LOAD_SECONDS
+    return view.pushes or now - view.heard_at <= _MAX_LOAD_AGE_SECONDS
 
 
 def _outstanding(view, now):
@@ -144,19 +145,19 @@
     return view.status.running + view.status.queued + view.unseen
 
 
-def _usual_work(views):
+def _median_work_s(views):
     known = sorted(view.status.work_s for view in views if view.status.work_s > 0)
-    # The median: one very slow target must not make the others look fast.
+    # The median, so that one very slow target doesn't make the others look fast.
     return known[len(known) // 2] if known else 0.0
 
 
 def _by_cost(candidate):
     if candidate.is_fresh:
         return candidate.cost_s
-    # Unprobed targets that differ little count as equal and keep their random order: otherwise all
-    # entry nodes would probe the same few.
-    cost_s = max(_LEAST_COST_SECONDS, candidate.cost_s)
-    return _COST_STEP ** math.ceil(math.log(cost_s, _COST_STEP))
+    # Costs of targets without a fresh load are rounded up to a power of the step. Similar targets
+    # then keep their random order; otherwise all entry nodes would probe the same few.
+    cost_s = max(_MIN_COST_SECONDS, candidate.cost_s)
+    return _COST_ROUNDING_FACTOR ** math.ceil(math.log(cost_s, _COST_ROUNDING_FACTOR))
 
 
 def _by_freshness(candidate):
--- a/packages/core/src/camphorshelf_core/retry.py
+++ b/packages/core/src/camphorshelf_core/retry.py
@@ -1,12 +1,13 @@
-"""Decides whether a call that got no good answer is tried again at another target.
+"""Decides whether a failed call is retried at another target.
 
-Load pattern: an overloaded or failing service below a deep chain of calls. Without it each of 25
-levels retries, and a call that fails at the bottom arrives there 2^25 times; the retries alone
-keep the service down after the cause is gone.
+If every level of a deep call chain retried, a call that fails at the bottom of 25 levels would
+arrive there 2^25 times, and the retries alone would keep an overloaded service down after the
+cause is gone.
 
-Two bounds hold together. A token that travels with the call allows one retry on the whole path:
-whoever spends it says so downwards (the request header) and upwards (the answer header). And the
-retries of one entry node are a share of its fresh calls, whatever the callers pass on.
+Two limits apply. A counter that travels with the call allows one retry on the whole path: the node
+that uses it reports so downstream in the request header and upstream in the answer header. In
+addition, the retries of one entry node are limited to a share of its first attempts, whatever
+counter the callers pass on.
 """
 
 from typing import NamedTuple
@@ -15,11 +16,11 @@
 from .errors import Code, Ran
 
 RETRIES_LEFT_HEADER = b"retries-left"
-# One retry reaches a healthy target when one is bad; a second would mostly meet the same overload.
+# One retry reaches a healthy target if one is faulty; a second would mostly hit the same overload.
 RETRIES_PER_PATH = 1
-# Enough for a small entry node to retry a single failure after a quiet time.
-_FULL_BUDGET = 10.0
-# A server's own failure; 501 and 505 would be the same everywhere and are no failure of a target.
+# Enough for an entry node with little traffic to retry single failures after an idle period.
+_MAX_TOKENS = 10.0
+# Failures of a server; 501 and 505 would be the same at every target.
 FAILURE_STATUSES = frozenset({500, 502, 503, 504})
 _TARGET_FAILURES = frozenset(
     {
@@ -34,34 +35,34 @@
 
 
 class ShareBudget:
-    """Allows something to happen for a share of the fresh calls."""
+    """A token bucket that allows retries, hedges or spills for a share of the first attempts."""
 
     def __init__(self, share):
         self._share = share
-        self._tokens = min(1.0, share * _FULL_BUDGET)
+        self._tokens = min(1.0, share * _MAX_TOKENS)
         self._denied = 0
 
     @property
     def denied(self):
-        """How often the budget was spent."""
+        """How many requests for a token were denied."""
         return self._denied
 
     @property
     def is_spent(self):
-        """Whether nothing is left."""
+        """Whether no token is left."""
         return self._tokens < 1
 
     def record_call(self):
-        """Count a fresh call.
+        """Count the first attempt of a call.
 
         :return: None.
         """
-        self._tokens = min(_FULL_BUDGET, self._tokens + self._share)
+        self._tokens = min(_MAX_TOKENS, self._tokens + self._share)
 
     def spend(self):
-        """Take one from the budget.
+        """Take a token if there is one.
 
-        :return: whether there was one.
+        :return: True if a token was taken.
         """
         if self._tokens < 1:
             self._denied += 1
@@ -70,7 +71,7 @@
         return True
 
     def charge(self):
-        """Take one for what has happened already, going into debt if need be.
+        """Take a token for something that has already happened; the balance may become negative.
 
         :return: None.
         """
@@ -78,14 +79,14 @@
 
 
 class RetryDecision(NamedTuple):
-    """Whether to retry, and why."""
+    """Whether to retry a call, and the reason."""
 
     retry: bool
     reason: str
 
 
 class RetryContext(NamedTuple):
-    """A call as it stands after an attempt: what may still be done for it."""
+    """What the retry decision depends on after an attempt; times are in milliseconds."""
 
     idempotent: bool
     retries_left: int
@@ -93,31 +94,31 @@
     expected_ms: float
 
 
-def decide_retry(result, tried, budget):
-    """Decide whether a result is final.
+def decide_retry(result, context, budget):
+    """Decide whether a call is retried after an attempt.
 
-    :param result: the :class:`Response` or refusal of an attempt.
-    :param tried: the :class:`RetryContext` call.
-    :param budget: the entry node's :class:`ShareBudget`; spent when the verdict is to retry.
+    :param result: the :class:`Response` or refusal of the attempt.
+    :param context: the :class:`RetryContext` of the call.
+    :param budget: the entry node's :class:`ShareBudget`; a token is taken if the call is retried.
     :return: the :class:`RetryDecision`.
     """
     if not is_failure(result):
         return RetryDecision(False, "answered")
     if is_retry_spent_downstream(result):
-        return RetryDecision(False, "retried further down")
-    if not _is_repeatable(result, tried.idempotent):
+        return RetryDecision(False, "already retried downstream")
+    if not _is_repeatable(result, context.idempotent):
         return RetryDecision(False, "may have run")
-    if tried.retries_left < 1:
-        return RetryDecision(False, "path's retries spent")
-    if tried.remaining_ms <= tried.expected_ms:
+    if context.retries_left < 1:
+        return RetryDecision(False, "no retries left on the call path")
+    if context.remaining_ms <= context.expected_ms:
         return RetryDecision(False, "no time left")
     if not budget.spend():
-        return RetryDecision(False, "node's retry budget spent")
+        return RetryDecision(False, "retry budget of the node exhausted")
     return RetryDecision(True, "retry")
 
 
 def is_failure(result):
-    """Tell whether a result is worth a retry: a refusal, or a server's failure.
+    """Check whether a result is a failure: a refusal or a server error.
 
     :param result: a :class:`Response` or refusal.
     :return: True or False.
@@ -126,11 +127,11 @@
 
 
 def is_target_fault(result):
-    """Tell whether a result speaks against the target that gave it.
+    """Check whether a result is a fault of the target that returned it.
 
-    A full queue, a missed deadline at the gate or a 4xx does not: the first two are load, which
-    routing answers, the last is the caller's own fault. Nor does a failure that the target only
-    passes on from further down.
+    A full queue and a deadline that admission control can't meet are signs of load, which routing
+    handles; a 4xx is the caller's fault. A failure that the target passes on from a downstream
+    service isn't the target's fault either.
 
     :param result: a :class:`Response` or refusal.
     :return: True or False.
@@ -141,10 +142,10 @@
 
 
 def read_retries_left(headers):
-    """Read how many retries a caller's path still allows.
+    """Read how many retries are left on the call path of a request.
 
     :param headers: the request's headers.
-    :return: 0 or 1; a caller that says nothing starts a new path.
+    :return: 0 or 1; a request without a valid header starts a new path.
     """
     value = header(headers, RETRIES_LEFT_HEADER)
     if value is None or not value.isdigit():
@@ -153,7 +154,7 @@
 
 
 def is_retry_spent_downstream(result):
-    """Tell whether the path's retry was spent by a call further down.
+    """Check whether a downstream node has used the retry of the call path.
 
     :param result: a :class:`Response` or refusal.
     :return: True or False.
@@ -162,21 +163,21 @@
 
 
 def retries_left_after(result, left):
-    """Tell what a failure passed upwards leaves of the path's retries.
+    """Compute how many retries are left on the call path after a final result.
 
     :param result: the final :class:`Response` or refusal.
-    :param left: what this level has left.
-    :return: 0 when a call further down has spent it, else what this level has left.
+    :param left: the number of retries left at this node.
+    :return: 0 if a downstream node has used the retry, otherwise ``left``.
     """
     return 0 if is_retry_spent_downstream(result) else left
 
 
 def add_jitter(milliseconds, random):
-    """Spread a time to wait, so that those refused together do not return together.
+    """Add jitter to a delay, so that callers refused at the same time don't all retry together.
 
-    :param milliseconds: the middle of the spread.
+    :param milliseconds: the mean delay.
     :param random: a ``random.Random``.
-    :return: milliseconds between half and one and a half of it.
+    :return: a delay in milliseconds between 0.5 and 1.5 times the mean.
     """
     return max(1, int(milliseconds * random.uniform(0.5, 1.5)))
 
--- a/packages/core/src/camphorshelf_core/retrybudget.py
+++ b/packages/core/src/camphorshelf_core/retrybudget.py
@@ -1,31 +1,31 @@
-"""The retry budget of a service, kept by all nodes together without coordination.
+"""The retry budget of a service, divided among all nodes without coordination.
 
-Load pattern: a service whose targets fail or shed most of what they get. Each request that goes
-on to another target adds load just when there is least room, and a run that is repeated makes its
-own calls again. So all nodes together may add a share of the requests and a fixed number in a
-time; each node spends its part of that and asks nobody.
+If the targets of a service fail or shed most of their requests, each retry adds load when capacity
+is lowest, and a request that runs again also repeats its own calls. All nodes together may
+therefore send retries for a share of the requests plus a fixed number per window. Each node uses
+its part of this allowance without asking others.
 """
 
 import math
 from typing import NamedTuple
 
-# Of what operators allow: some is left for what is kept for a moment and spent together with
-# what is earned meanwhile, and for the repeated calls of other services' reruns.
+# Shares of the configured limits that are used. The rest covers tokens that are saved up and spent
+# at once, and calls that are repeated because other services rerun their requests.
 _RATIO_SHARE = 0.4
 _SLACK_SHARE = 0.2
-# A request that was shed unrun costs its service one arrival more. A rerun makes its calls again,
-# and each of those counts as a retry at the service that is called.
+# Share of the tokens that reruns may take. A request that was shed before it ran adds only one
+# arrival; a rerun repeats its calls, and each of them counts as a retry at the called service.
 _RERUN_SHARE = 0.5
-# Retries that were not used must not add up to a burst later: they fade within some seconds.
-_KEPT_SECONDS = 2.0
+# Time constant of the decay of unused tokens from requests; saved tokens would allow a burst later.
+_TOKEN_DECAY_SECONDS = 2.0
 
 
 class RetryLimits(NamedTuple):
-    """What operators allow for one service, over all nodes.
+    """The configured retry limits of one service over all nodes.
 
-    :param ratio: retries for each request.
-    :param slack: retries in a window beside those.
-    :param window_s: the window's length in seconds.
+    :param ratio: retries per request.
+    :param slack: additional retries per window.
+    :param window_s: the length of the window in seconds.
     """
 
     ratio: float
@@ -34,80 +34,83 @@
 
 
 class RetryBudget:
-    """One node's part of the retries to one service."""
+    """One node's part of the retry budget of one service."""
 
-    def __init__(self, terms, random, now):
-        self._terms = terms
+    def __init__(self, limits, random, now):
+        self._limits = limits
         self._random = random
         self._nodes = 1
-        self._all = _Pool(terms, 1.0, now)
-        self._reruns = _Pool(terms, _RERUN_SHARE, now)
+        self._any_retry = _TokenBucket(limits, 1.0, now)
+        self._reruns = _TokenBucket(limits, _RERUN_SHARE, now)
 
     def set_node_count(self, nodes):
-        """Take the number of nodes that draw on the same allowance.
+        """Set the number of nodes that share the budget.
 
-        :param nodes: how many, this one included.
+        :param nodes: the number of nodes, including this one.
         :return: None.
         """
         self._nodes = max(1, nodes)
 
     def record_request(self, now):
-        """Count a request of a caller.
+        """Count a caller's request.
 
         :param now: seconds on the monotonic clock.
         :return: None.
         """
-        for pool in (self._all, self._reruns):
-            pool.pass_time(now, self._nodes)
-            pool.record_request()
+        for bucket in (self._any_retry, self._reruns):
+            bucket.advance(now, self._nodes)
+            bucket.record_request()
 
     def spend(self, now, is_rerun=False):
-        """Take one retry if there is one.
+        """Take a token for a retry if there is one.
 
         :param now: seconds on the monotonic clock.
-        :param is_rerun: whether the request may have run before, and would make its calls again.
-        :return: whether there was one.
+        :param is_rerun: whether the request may have run before and would repeat its own calls.
+        :return: True if a token was taken.
         """
-        pools = (self._reruns, self._all) if is_rerun else (self._all,)
-        for pool in pools:
-            pool.pass_time(now, self._nodes)
-        return all(pool.draw(self._random) for pool in pools)
+        buckets = (self._reruns, self._any_retry) if is_rerun else (self._any_retry,)
+        for bucket in buckets:
+            bucket.advance(now, self._nodes)
+        return all(bucket.try_spend(self._random) for bucket in buckets)
 
 
-class _Pool:
-    """Retries that were earned and not yet spent.
+class _TokenBucket:
+    """A token bucket that is filled by requests and by time.
 
-    :param share: of what a retry of any kind may take.
+    :param limits: the :class:`RetryLimits` of the service.
+    :param share: the share of the usable limits that this bucket gets.
+    :param now: seconds on the monotonic clock.
     """
 
-    def __init__(self, terms, share, now):
-        self._ratio = terms.ratio * _RATIO_SHARE * share
-        self._slack = terms.slack * _SLACK_SHARE * share
-        self._window_s = terms.window_s
+    def __init__(self, limits, share, now):
+        self._ratio = limits.ratio * _RATIO_SHARE * share
+        self._slack = limits.slack * _SLACK_SHARE * share
+        self._window_s = limits.window_s
         self._from_requests = 0.0
-        # A node that was just started has its whole part: callers retried by it are as few as
-        # those of any other. All nodes started anew at once are still within the allowance.
+        # A new node starts with the full slack: it retries no more callers than any other node,
+        # and even if all nodes start at once the total stays within the limits.
         self._from_time = self._slack
-        self._at = now
+        self._updated_at = now
 
     def record_request(self):
         self._from_requests += self._ratio
 
-    def draw(self, random):
-        there = self._from_requests + self._from_time
-        if there >= 1:
-            taken = min(1.0, self._from_requests)
-            self._from_requests -= taken
-            self._from_time -= 1 - taken
+    def try_spend(self, random):
+        available = self._from_requests + self._from_time
+        if available >= 1:
+            from_requests = min(1.0, self._from_requests)
+            self._from_requests -= from_requests
+            self._from_time -= 1 - from_requests
             return True
-        # A node of a large system seldom holds a whole one. It draws with the part that it holds as
-        # the chance and gives that part up, so all nodes together take as many as they hold.
+        # In a large system a node rarely holds a whole token. It then takes one with a probability
+        # equal to the fraction it holds, and gives the fraction up either way: on average, all
+        # nodes together take as many tokens as they hold.
         self._from_requests = self._from_time = 0.0
-        return random.random() < there
-
-    def pass_time(self, now, nodes):
-        passed = now - self._at
-        self._at = now
-        self._from_requests *= math.exp(-passed / _KEPT_SECONDS)
-        part = self._slack / nodes
-        self._from_time = min(part, self._from_time + part * passed / self._window_s)
+        return random.random() < available
+
+    def advance(self, now, nodes):
+        elapsed_s = now - self._updated_at
+        self._updated_at = now
+        self._from_requests *= math.exp(-elapsed_s / _TOKEN_DECAY_SECONDS)
+        node_slack = self._slack / nodes
+        self._from_time = min(node_slack, self._from_time + node_slack * elapsed_s / self._window_s)
--- a/packages/core/src/camphorshelf_core/routes.py
+++ b/packages/core/src/camphorshelf_core/routes.py
@@ -1,16 +1,16 @@
-"""Routes: which service a request goes to, and on which terms."""
+"""Routes: select the service for a request and hold its timeouts, retries and priority."""
 
 from typing import NamedTuple
 
-# Weights are mostly percentages: the turns repeat after 100 at the latest.
-_FIRST_TURNS = 100
+# Weights are usually percentages, for which the rotation repeats after at most 100 requests.
+_MAX_START_OFFSET = 100
 
 
 class WeightedService(NamedTuple):
     """One service of a route and its share of the route's requests.
 
     :param service: the service's name.
-    :param weight: its share, relative to the route's other parts.
+    :param weight: its share, relative to the route's other services.
     """
 
     service: str
@@ -18,17 +18,17 @@
 
 
 class Route(NamedTuple):
-    """The terms on which requests of one host and path prefix are served.
+    """How requests for one host and path prefix are served.
 
     :param name: the route's name, unique in its configuration.
     :param host: the host in lower case, without a port.
-    :param prefix: starts and ends with a slash.
+    :param prefix: the path prefix; starts and ends with a slash.
     :param idempotent: whether a request may run more than once.
-    :param attempts: the most targets that one request may be handed to.
-    :param timeout_s: the longest time that a caller is kept waiting.
-    :param objective_s: the latency objective, within which an answer is worth most to its caller.
-    :param priority: 0 is served first.
-    :param weighted_services: the services that share the route's requests.
+    :param attempts: the maximum number of targets that one request may be sent to.
+    :param timeout_s: seconds after which the caller gets an error instead of an answer.
+    :param objective_s: the latency objective in seconds.
+    :param priority: 0 is the highest priority.
+    :param weighted_services: a tuple of :class:`WeightedService` that share the route's requests.
     """
 
     name: str
@@ -43,11 +43,11 @@
 
 
 class ServiceSettings(NamedTuple):
-    """What is configured for one service.
+    """The settings of one service.
 
-    :param health_path: the path that tells a target's health and load.
-    :param cold_rate_per_s: requests a second that a cold target bears; None for no limit.
-    :param cold_s: seconds for which a target stays cold; 0.0 when that is not configured.
+    :param health_path: the path at which a target reports its health and load.
+    :param cold_rate_per_s: requests per second that a cold target can serve; None for no limit.
+    :param cold_s: seconds for which a target stays cold after its start; 0.0 if not configured.
     """
 
     health_path: str
@@ -56,7 +56,7 @@
 
 
 class EdgeLimits(NamedTuple):
-    """Bounds on what a caller may send and how long it may take."""
+    """Limits on what a caller may send, in bytes, and on how long it may take, in seconds."""
 
     head_bytes: int
     body_bytes: int
@@ -65,7 +65,7 @@
 
 
 class RoutingConfig(NamedTuple):
-    """One version of all that operators have configured; versions only grow."""
+    """One version of the routing configuration; version numbers only increase."""
 
     version: int
     routes: tuple
@@ -74,14 +74,14 @@
 
 
 class RouteTable:
-    """Finds the route of a request in one dictionary lookup for each slash of its path."""
+    """Finds the route of a request with one dictionary lookup per slash in its path."""
 
     def __init__(self, routes):
         self._routes = {(route.host, route.prefix): route for route in routes}
         self._hosts = {route.host for route in routes}
 
     def find(self, host, path):
-        """Find the route with the longest prefix of a path.
+        """Find the route with the longest prefix that matches a path.
 
         :param host: the request's host in lower case, without a port.
         :param path: the request's path, without a query.
@@ -99,11 +99,12 @@
 
 
 class ServicePicker:
-    """Shares a route's requests among its parts, as exactly as whole requests allow.
+    """Distributes a route's requests over its services by smooth weighted round robin.
 
-    Random draws would leave a part of 10 % with 7 to 13 of 100 requests; here each part is within
-    one request of its share at any time (smooth weighted round robin). Each node starts at a turn
-    that is drawn, or all nodes would send their first request to the same part.
+    Each service is within one request of its share at any time; a random choice would give a
+    service with a share of 10 % between 7 and 13 of 100 requests. Each node starts at a random
+    position of the rotation, because otherwise all nodes would send their first request to the
+    same service.
     """
 
     def __init__(self, random):
@@ -120,28 +121,30 @@
             return route.weighted_services[0].service
         credits = self._credits.get((route.name, route.weighted_services))
         if credits is None:
-            credits = self._start(route)
-        return route.weighted_services[_take_turn(route.weighted_services, credits)].service
+            credits = self._start_rotation(route)
+        return route.weighted_services[_advance(route.weighted_services, credits)].service
 
     def retain_routes(self, routes):
-        """Forget routes and weights that are no longer configured.
+        """Drop the state of routes and weights that are no longer configured.
 
-        :param routes: the routes in force.
+        :param routes: the routes of the configuration in force.
         :return: None.
         """
-        live = {(route.name, route.weighted_services) for route in routes}
-        self._credits = {key: value for key, value in self._credits.items() if key in live}
-
-    def _start(self, route):
-        credits = self._credits[route.name, route.weighted_services] = [0.0] * len(route.weighted_services)
-        for _ in range(self._random.randrange(_FIRST_TURNS)):
-            _take_turn(route.weighted_services, credits)
+        configured = {(route.name, route.weighted_services) for route in routes}
+        self._credits = {key: value for key, value in self._credits.items() if key in configured}
+
+    def _start_rotation(self, route):
+        credits = self._credits[route.name, route.weighted_services] = [0.0] * len(
+            route.weighted_services
+        )
+        for _ in range(self._random.randrange(_MAX_START_OFFSET)):
+            _advance(route.weighted_services, credits)
         return credits
 
 
-def _take_turn(parts, credits):
-    for index, part in enumerate(parts):
-        credits[index] += part.weight
-    best = max(range(len(parts)), key=credits.__getitem__)
-    credits[best] -= sum(part.weight for part in parts)
-    return best
+def _advance(services, credits):
+    for index, service in enumerate(services):
+        credits[index] += service.weight
+    selected = max(range(len(services)), key=credits.__getitem__)
+    credits[selected] -= sum(service.weight for service in services)
+    return selected
--- a/packages/core/src/camphorshelf_core/spill.py
+++ b/packages/core/src/camphorshelf_core/spill.py
@@ -1,47 +1,47 @@
-"""Decides when a call goes on to another target instead of waiting for a slot.
+"""Decides when a call is sent on to another target ("spilled") instead of waiting for a slot.
 
-Load pattern: load that shifts faster than reports travel. Without it a call queues behind a wrong
-guess while another target has a slot free. But going on costs a round trip, so the entry node says
-how long a call may wait at most: with short work and many slots the next slot is free before a
-message has come back, and going on would be the slower choice.
+Load can change faster than reports arrive, so a call may be queued at a busy target while another
+one has a free slot. A spill costs a round trip, however: with short calls and many slots the next
+slot is free before that. The entry node therefore sends the maximum wait with the call.
 """
 
 _SMOOTHING = 0.1
-_FIRST_MS = 1.0
-# Going on costs its round trip for certain, while the next target may be full as well.
-_MARGIN = 1.5
+_INITIAL_MS = 1.0
+# A spill always costs a round trip, and the next target may be full as well.
+_WAIT_FACTOR = 1.5
 
 
 class RoundTripEstimate:
-    """The smoothed time of a message to another node and back."""
+    """The smoothed round-trip time to other nodes."""
 
     def __init__(self):
-        self._milliseconds = _FIRST_MS
+        self._milliseconds = _INITIAL_MS
 
     @property
     def milliseconds(self):
-        """The smoothed time."""
+        """The smoothed round-trip time in milliseconds."""
         return self._milliseconds
 
     @property
     def longest_wait_ms(self):
-        """How long a call may wait for a slot before it had better go on."""
-        return self._milliseconds * _MARGIN
+        """How long a call may wait for a slot before it is spilled, in milliseconds."""
+        return self._milliseconds * _WAIT_FACTOR
 
     def record(self, milliseconds):
-        """Take in how long a message took that the other node answered at once.
+        """Record the round-trip time of a message that was answered without waiting.
 
-        :param milliseconds: from sending to the answer.
+        :param milliseconds: the time from sending the message to its answer.
         :return: None.
         """
         self._milliseconds += _SMOOTHING * (milliseconds - self._milliseconds)
 
 
 def can_start_within(load, longest_wait_ms):
-    """Tell whether a target has a slot for a call soon enough.
+    """Check whether a target is expected to have a free slot for a call in time.
 
-    :param load: the target's :class:`~camphorshelf_core.load.LoadReport` of this moment.
-    :param longest_wait_ms: how long the call may wait, None for as long as its deadline allows.
+    :param load: the current :class:`~camphorshelf_core.load.LoadReport` of the target.
+    :param longest_wait_ms: how long the call may wait, in milliseconds; None if only its deadline
+        limits the wait.
     :return: True or False.
     """
     if longest_wait_ms is None:
