--- a/packages/core/src/camphorshelf_core/config.py
+++ b/packages/core/src/camphorshelf_core/config.py
@@ -1,4 +1,4 @@
-"""The configuration document: one immutable body per version, known by its digest."""
+"""The configuration document: one immutable body per version, identified by its digest."""
 
 import hashlib
 from typing import NamedTuple
@@ -10,27 +10,27 @@
 TAKE = "take"
 LEAVE = "leave"
 FULL_WEIGHT = 100
-# A body names this many versions before it, so that a plan of the last days is found in a few
-# reads without an index that would have to be written together with the head row.
+# Each body lists this many earlier versions. A plan confirmed in the last days is then found in a
+# few reads, without an index that would have to be written together with the head row.
 RECENT_VERSIONS = 64
 
 
 class TargetIntent(NamedTuple):
-    """What operators want of one target."""
+    """The desired state of one target: whether it takes calls, and its weight in percent."""
 
     state: str = TAKE
     weight: int = FULL_WEIGHT
 
 
 class ServiceConfig(NamedTuple):
-    """Everything that operators have said about one service.
-
-    :param owner: the team that it belongs to.
-    :param targets: the intents for single targets, by name.
-    :param idempotent: whether its methods are idempotent, by method.
-    :param classes: the class of its calls, by method.
-    :param shares: how many of a hundred of its slots a caller may hold, by caller.
-    :param domains: the state of all its targets in a failure domain, by domain, where they leave.
+    """The configuration of one service.
+
+    :param owner: the team that owns the service.
+    :param targets: the :class:`TargetIntent` by name of the target.
+    :param idempotent: whether a method is idempotent, by method.
+    :param classes: the class of the calls, by method.
+    :param shares: the percentage of the slots that a caller may hold, by caller.
+    :param domains: ``LEAVE`` for each failure domain whose targets should leave, by domain.
     """
 
     owner: str
@@ -42,7 +42,7 @@
 
 
 class Change(NamedTuple):
-    """One difference between two versions; None stands for nothing said."""
+    """One difference between two versions; None means that the value isn't configured."""
 
     service: str
     field: str
@@ -52,7 +52,7 @@
 
 
 class ConfirmedVersion(NamedTuple):
-    """One confirmed version: its number, its plan and its body, the last two by digest."""
+    """A confirmed version: its number, the digest of its plan and the digest of its body."""
 
     version: int
     plan: str
@@ -73,7 +73,7 @@
 
 
 class Head(NamedTuple):
-    """The row that says which version is in force; the only one ever compared and set."""
+    """The row that names the version in force; only this row is written by compare-and-set."""
 
     version: int
     digest: str
@@ -81,16 +81,16 @@
 
 
 def sha256_hex(data):
-    """Give the name of a body or plan.
+    """Compute the digest that identifies a body or plan.
 
-    :param data: its bytes.
-    :return: SHA-256 in hex.
+    :param data: the bytes of the body or plan.
+    :return: SHA-256 in hexadecimal.
     """
     return hashlib.sha256(data).hexdigest()
 
 
 def encode_document(document):
-    """Turn a document into bytes that are the same on every node.
+    """Encode a document; the bytes are the same on every node.
 
     :param document: the :class:`Document`.
     :return: canonical CBOR.
@@ -99,11 +99,11 @@
 
 
 def decode_document(data):
-    """Read a document.
+    """Decode a document.
 
-    :param data: what :func:`encode_document` gave.
+    :param data: the bytes returned by :func:`encode_document`.
     :return: the :class:`Document`.
-    :raises ProtocolError: when the bytes are no document.
+    :raises ProtocolError: if the bytes aren't a valid document.
     """
     try:
         document = Document(*cbor2.loads(data))
@@ -111,14 +111,14 @@
             confirmed_by=tuple(document.confirmed_by),
             changes=tuple(Change(*change) for change in document.changes),
             recent=tuple(ConfirmedVersion(*entry) for entry in document.recent),
-            services={name: _service(fields) for name, fields in document.services.items()},
+            services={name: _decode_service(fields) for name, fields in document.services.items()},
         )
     except (cbor2.CBORDecodeError, TypeError, ValueError, AttributeError) as error:
-        raise ProtocolError(f"not a configuration: {error}") from error
+        raise ProtocolError(f"invalid configuration document: {error}") from error
 
 
 def encode_head(head):
-    """Turn the head row into bytes.
+    """Encode the head row.
 
     :param head: the :class:`Head`.
     :return: canonical CBOR.
@@ -127,21 +127,21 @@
 
 
 def decode_head(data):
-    """Read the head row.
+    """Decode the head row.
 
-    :param data: the row's bytes, or None when there is no row yet.
-    :return: the :class:`Head`; version 0 stands for the empty configuration.
-    :raises ProtocolError: when the bytes are no head row.
+    :param data: the row's bytes, or None if there is no row yet.
+    :return: the :class:`Head`; version 0 is the empty configuration.
+    :raises ProtocolError: if the bytes aren't a valid head row.
     """
     if data is None:
         return EMPTY_HEAD
     try:
         return Head(*cbor2.loads(data))
     except (cbor2.CBORDecodeError, TypeError, ValueError) as error:
-        raise ProtocolError(f"not a head row: {error}") from error
+        raise ProtocolError(f"invalid head row: {error}") from error
 
 
-def _service(fields):
+def _decode_service(fields):
     owner, targets, *rest = fields
     targets = {name: TargetIntent(*intent) for name, intent in targets.items()}
     return ServiceConfig(owner, targets, *rest)
--- a/packages/core/src/camphorshelf_core/confirm.py
+++ b/packages/core/src/camphorshelf_core/confirm.py
@@ -1,11 +1,11 @@
-"""Plan and confirm as steps against the platform, without I/O.
+"""Plans, confirms and lists configuration versions as steps against the platform, without I/O.
 
-Each procedure is a generator: it yields one operation, is sent that operation's outcome and
-returns the end. A node runs it on its loop; the tests run it step by step between others, with
-answers lost and writes applied late.
+Each procedure is a generator: it yields an operation, is sent the operation's outcome and returns
+the result. A node runs it on its event loop; the tests interleave the steps of several procedures,
+with lost answers and writes that are applied late.
 
-The head row is the only thing that is ever compared and set, from one version to the next. The
-body is written first, under its digest, so that a head never names a body that is not there.
+Only the head row is written by compare-and-set, from one version to the next. The body is written
+before it, under its digest, so that the head never names a body that doesn't exist.
 """
 
 import re
@@ -19,43 +19,43 @@
     Head,
     decode_document,
     decode_head,
-    sha256_hex,
     encode_head,
+    sha256_hex,
 )
 from .errors import Code, Refusal
-from .plans import Plan, decode_plan, encode_plan, make_next, make_plan
+from .plans import Plan, decode_plan, encode_plan, make_next_version, make_plan
 from .teams import check_scope
 
 CONFIG_PARTITION = "config"
 HEAD_KEY = "head"
 APPROVALS_PARTITION = "config-approvals"
-# One swap, and two more when its answer was lost: the swap from base to base + 1 with the same
-# bytes takes effect once however often it is sent, so sending again is the read-back's twin.
-_SWAP_TRIES = 3
+# One attempt, and two more in case its answer is lost. Repeating it is safe: the write from version
+# base to base + 1 with the same bytes takes effect at most once, however often it is sent.
+_MAX_COMPARE_AND_SET_ATTEMPTS = 3
 _MAX_LOOKUP_READS = 32
 _DIGEST = re.compile(r"[0-9a-f]{64}")
 MAX_HISTORY = RECENT_VERSIONS + 1
 
 
 class Unknown(NamedTuple):
-    """An operation whose outcome is not known: it may have taken effect, now or later."""
+    """The outcome of an operation that may have taken effect or may still take effect later."""
 
 
 UNKNOWN = Unknown()
 
 
 class ReadRow(NamedTuple):
-    """Read a row; the outcome is its bytes, None when absent, or ``UNKNOWN``."""
+    """Read a row; the outcome is its bytes, None if it doesn't exist, or ``UNKNOWN``."""
 
     partition: str
     key: str
 
 
 class CompareAndSetRow(NamedTuple):
-    """Write a row if its version is ``expected`` (None: if absent); True, False or ``UNKNOWN``.
+    """Write a row if its version is ``expected``, or if it doesn't exist for None.
 
-    The row's version in the table is the configuration's own number, so the condition that the
-    table checks is the one that operators rely on.
+    The outcome is True, False or ``UNKNOWN``. The head row's version in the table is the version of
+    the configuration, so the table itself checks that a plan is applied to its base version.
     """
 
     partition: str
@@ -65,7 +65,7 @@
 
 
 class ReadObject(NamedTuple):
-    """Read an object; the outcome is its bytes, None when absent, or ``UNKNOWN``."""
+    """Read an object; the outcome is its bytes, None if it doesn't exist, or ``UNKNOWN``."""
 
     key: str
 
@@ -85,7 +85,10 @@
 
 
 class ConfirmResult(NamedTuple):
-    """The end of a confirm that won: its version, and the newest head with its body."""
+    """The result of a successful confirm.
+
+    ``version`` is the version that the plan became; ``head`` and ``body`` are the newest ones.
+    """
 
     version: int
     head: Head
@@ -99,7 +102,7 @@
 
 
 def body_key(digest):
-    """Name the object that holds a body.
+    """Build the key of the object that holds a body.
 
     :param digest: the body's digest.
     :return: the object's key.
@@ -108,7 +111,7 @@
 
 
 def plan_key(digest):
-    """Name the object that holds a plan.
+    """Build the key of the object that holds a plan.
 
     :param digest: the plan's digest.
     :return: the object's key.
@@ -116,25 +119,25 @@
     return f"plans/{digest}"
 
 
-def plan_steps(wishes, operator, targets, planned_at):
-    """Plan on the newest version and store the plan.
+def plan_steps(updates, operator, targets, planned_at):
+    """Make a plan on the newest version and store it.
 
-    :param wishes: what the operator wants.
+    :param updates: the updates that the operator requests.
     :param operator: the :class:`~camphorshelf_core.teams.Operator`.
-    :param targets: service -> target -> slots.
-    :param planned_at: seconds of the wall clock.
-    :return: a generator that ends with :class:`StoredPlan` or a refusal.
+    :param targets: service -> target -> :class:`~camphorshelf_core.effects.TargetCapacity`.
+    :param planned_at: seconds on the wall clock.
+    :return: a generator that returns a :class:`StoredPlan` or a refusal.
     """
     try:
         head, document = yield from _read_newest()
-        result = make_plan(head, document, wishes, operator, targets, planned_at)
+        result = make_plan(head, document, updates, operator, targets, planned_at)
         if not isinstance(result, Success):
             return result.failure()
         data = encode_plan(result.unwrap())
-        yield from _write(plan_key(sha256_hex(data)), data)
+        yield from _write_object(plan_key(sha256_hex(data)), data)
         return StoredPlan(result.unwrap(), sha256_hex(data))
-    except _RefusedError as refused:
-        return refused.refusal
+    except _RefusedError as error:
+        return error.refusal
 
 
 def read_plan_steps(plan_digest):
@@ -145,16 +148,16 @@
     """
     try:
         return StoredPlan((yield from _read_plan(plan_digest)), plan_digest)
-    except _RefusedError as refused:
-        return refused.refusal
+    except _RefusedError as error:
+        return error.refusal
 
 
 def confirm_steps(plan_digest, operator):
     """Confirm a plan; may be repeated, also through another node.
 
     :param plan_digest: the plan's digest.
-    :param operator: who confirms.
-    :return: a generator that ends with :class:`ConfirmResult` or a refusal.
+    :param operator: the :class:`~camphorshelf_core.teams.Operator` who confirms the plan.
+    :return: a generator that returns a :class:`ConfirmResult` or a refusal.
     """
     try:
         plan = yield from _read_plan(plan_digest)
@@ -163,31 +166,31 @@
             return (yield from _find_outcome(head, plan, plan_digest))
         base = yield from _read_body(head.digest)
         if (head.version, head.digest) != (plan.base, plan.base_digest):
-            raise _RefusedError(Code.CONFLICT, "the plan was made on a version that never was")
+            raise _RefusedError(Code.CONFLICT, "the plan's base version was never confirmed")
         _check_operator(operator, base, plan)
-        yield from _approve(plan, plan_digest, operator)
-        new_head, body = make_next(head, base, plan, plan_digest)
-        yield from _write(body_key(new_head.digest), body)
+        yield from _record_approval(plan, plan_digest, operator)
+        new_head, body = make_next_version(head, base, plan, plan_digest)
+        yield from _write_object(body_key(new_head.digest), body)
         return (yield from _compare_and_set_head(head, new_head, body, plan, plan_digest))
-    except _RefusedError as refused:
-        return refused.refusal
+    except _RefusedError as error:
+        return error.refusal
 
 
 def history_steps(limit):
-    """Collect the newest versions, newest first.
+    """Read the newest versions, newest first.
 
-    :param limit: how many.
-    :return: a generator that ends with a tuple of documents or a refusal.
+    :param limit: the maximum number of versions.
+    :return: a generator that returns a tuple of documents or a refusal.
     """
     try:
         _, document = yield from _read_newest()
-        found = [document] if document.version else []
+        documents = [document] if document.version else []
         for entry in document.recent[: max(0, min(limit, MAX_HISTORY) - 1)]:
             document = yield from _read_body(entry.digest)
-            found.append(document)
-        return tuple(found)
-    except _RefusedError as refused:
-        return refused.refusal
+            documents.append(document)
+        return tuple(documents)
+    except _RefusedError as error:
+        return error.refusal
 
 
 def _read_newest():
@@ -208,16 +211,18 @@
         return decode_document(EMPTY_BODY)
     data = yield from _read_object(body_key(digest), digest)
     if data is None:
-        raise _RefusedError(Code.CORRUPT_CONFIGURATION, f"the body {digest} is not in the store")
+        raise _RefusedError(
+            Code.CORRUPT_CONFIGURATION, f"the body {digest} is missing in the store"
+        )
     return decode_document(data)
 
 
 def _read_plan(plan_digest):
     if not _DIGEST.fullmatch(plan_digest):
-        raise _RefusedError(Code.UNKNOWN_PLAN, "a plan is named by 64 hexadecimal digits")
+        raise _RefusedError(Code.UNKNOWN_PLAN, "the digest of a plan has 64 hexadecimal digits")
     data = yield from _read_object(plan_key(plan_digest), plan_digest)
     if data is None:
-        raise _RefusedError(Code.UNKNOWN_PLAN, "there is no plan of this digest")
+        raise _RefusedError(Code.UNKNOWN_PLAN, "there is no plan with this digest")
     return decode_plan(data)
 
 
@@ -226,11 +231,13 @@
     if data is UNKNOWN:
         raise _platform_down()
     if data is not None and sha256_hex(data) != digest:
-        raise _RefusedError(Code.CORRUPT_CONFIGURATION, f"the object {key} is not what it was")
+        raise _RefusedError(
+            Code.CORRUPT_CONFIGURATION, f"the content of object {key} does not match its digest"
+        )
     return data
 
 
-def _write(key, data):
+def _write_object(key, data):
     outcome = yield WriteObject(key, data)
     if outcome is not True:
         raise _platform_down()
@@ -239,13 +246,13 @@
 def _check_operator(operator, base, plan):
     refusal = check_scope(operator, base.services, plan.changes)
     if refusal is None and operator.team not in plan.confirmers:
-        refusal = Refusal(Code.NOT_THE_OWNER, "the plan is about another team's services")
+        refusal = Refusal(Code.NOT_THE_OWNER, "the plan changes only services of other teams")
     if refusal is not None:
         raise _RefusedError(refusal.code, refusal.reason)
 
 
-def _approve(plan, plan_digest, operator):
-    """Note this team's confirm where another's is needed as well."""
+def _record_approval(plan, plan_digest, operator):
+    """Store this team's approval and check those of other teams if the plan needs them."""
     others = [team for team in plan.confirmers if team != operator.team]
     if not others:
         return
@@ -257,38 +264,43 @@
         if approval is UNKNOWN:
             raise _platform_down()
         if approval is None:
-            raise _RefusedError(Code.AWAITING_OWNER, f"{team} has to confirm this plan as well")
+            raise _RefusedError(Code.AWAITING_OWNER, f"{team} must also confirm this plan")
 
 
 def _compare_and_set_head(head, new_head, body, plan, plan_digest):
     expected = head.version or None
-    for _ in range(_SWAP_TRIES):
-        outcome = yield CompareAndSetRow(CONFIG_PARTITION, HEAD_KEY, encode_head(new_head), expected)
+    for _ in range(_MAX_COMPARE_AND_SET_ATTEMPTS):
+        outcome = yield CompareAndSetRow(
+            CONFIG_PARTITION, HEAD_KEY, encode_head(new_head), expected
+        )
         if outcome is True:
             return ConfirmResult(new_head.version, new_head, body)
         data = yield ReadRow(CONFIG_PARTITION, HEAD_KEY)
         if data is UNKNOWN:
             continue
-        # The read-back: without it a confirm whose answer was lost looks like a lost race when
-        # it is sent again, and the operator plans a second time what is already in force.
-        seen = decode_head(data)
-        if seen.version > plan.base:
-            return (yield from _find_outcome(seen, plan, plan_digest))
-    reason = "the platform did not say whether the plan is in force; confirm it again"
+        # The head is read back because the answer to an earlier write may have been lost. Otherwise
+        # the repeated confirm would look like a conflict, and the operator would plan the same
+        # changes again although they are already in force.
+        current = decode_head(data)
+        if current.version > plan.base:
+            return (yield from _find_outcome(current, plan, plan_digest))
+    reason = "the platform did not answer whether the plan is in force; confirm it again"
     raise _RefusedError(Code.CONFIRM_UNKNOWN, reason, retry_after_ms=1000)
 
 
 def _find_outcome(head, plan, plan_digest):
-    """Tell whether the version after the plan's base is this plan's own."""
+    """Check whether the version after the plan's base version was made from this plan."""
     data = yield from _read_object(body_key(head.digest), head.digest)
     if data is None:
-        raise _RefusedError(Code.CORRUPT_CONFIGURATION, f"body {head.digest} is not in the store")
+        raise _RefusedError(
+            Code.CORRUPT_CONFIGURATION, f"the body {head.digest} is missing in the store"
+        )
     entry, document = head, decode_document(data)
     for _ in range(_MAX_LOOKUP_READS):
         if entry.version <= plan.base + 1:
             break
-        known = {one.version: one for one in document.recent}
-        entry = known.get(plan.base + 1, document.recent[-1])
+        by_version = {listed.version: listed for listed in document.recent}
+        entry = by_version.get(plan.base + 1, document.recent[-1])
         if entry.version > plan.base + 1:
             document = yield from _read_body(entry.digest)
     if entry.version == plan.base + 1 and entry.plan == plan_digest:
@@ -298,5 +310,5 @@
 
 
 def _platform_down():
-    reason = "the platform does not answer; nothing was changed by this step"
+    reason = "the platform does not answer; this step changed nothing"
     return _RefusedError(Code.PLATFORM_DOWN, reason, retry_after_ms=1000)
--- a/packages/core/src/camphorshelf_core/effects.py
+++ b/packages/core/src/camphorshelf_core/effects.py
@@ -1,4 +1,4 @@
-"""Says in words and numbers what a plan does, for operators to read before they confirm."""
+"""Describes the effect of a plan in sentences that operators read before they confirm it."""
 
 from typing import NamedTuple
 
@@ -7,10 +7,10 @@
 
 
 class TargetCapacity(NamedTuple):
-    """What a plan's effect is told by.
+    """The capacity and location of a target, used to compute a plan's effect.
 
-    :param slots: how many calls the target works on at once.
-    :param domain: its failure domain.
+    :param slots: the number of calls that the target runs concurrently.
+    :param domain: the target's failure domain.
     """
 
     slots: int
@@ -18,38 +18,38 @@
 
 
 def describe_effect(services, changes, targets):
-    """Say in words and numbers what a plan does.
+    """Describe the effect of a plan.
 
     :param services: the services of the base version.
     :param changes: the plan's changes.
-    :param targets: service -> target -> :class:`TargetCapacity`, as this node knows them now.
+    :param targets: service -> target -> :class:`TargetCapacity`, as currently known to this node.
     :return: a tuple of sentences.
     """
     after = apply_changes(services, changes)
     lines = []
     for service in sorted({change.service for change in changes}):
         lines.extend(_describe_targets(service, services, after, targets.get(service, {})))
-    lines.extend(_describe_other(change) for change in changes if change.field in _WORDS)
+    lines.extend(_describe_change(change) for change in changes if change.field in _TEMPLATES)
     return tuple(lines)
 
 
 def serving_capacity(services, service, targets):
-    """Count what a service's targets carry under a configuration.
+    """Compute the capacity that a service has under a configuration.
 
     :param services: the services of a version.
     :param service: the service's name.
     :param targets: target -> :class:`TargetCapacity`.
-    :return: the pair of targets that take work and of their weighted slots.
+    :return: a pair of the number of targets that take calls and the sum of their weighted slots.
     """
     config = services.get(service, ServiceConfig(""))
     intents = {name: config.targets.get(name, TargetIntent()) for name in targets}
-    taking = [
+    serving = [
         name
-        for name, one in intents.items()
-        if one.state == TAKE and one.weight and targets[name].domain not in config.domains
+        for name, intent in intents.items()
+        if intent.state == TAKE and intent.weight and targets[name].domain not in config.domains
     ]
-    slots = sum(targets[name].slots * intents[name].weight for name in taking)
-    return len(taking), slots / FULL_WEIGHT
+    slots = sum(targets[name].slots * intents[name].weight for name in serving)
+    return len(serving), slots / FULL_WEIGHT
 
 
 def _describe_targets(service, before, after, targets):
@@ -68,7 +68,7 @@
         yield f"{service}: the targets that stay carry {more:.0f}% more each"
 
 
-_WORDS = {
+_TEMPLATES = {
     "owner": "{service}: handed from {before} to {after}",
     "idempotent": "{service}: {name} counts as idempotent: {after}",
     "class": "{service}: {name} calls are {after}",
@@ -79,7 +79,7 @@
 }
 
 
-def _describe_other(change):
-    words = change._asdict()
-    words["before"] = "nobody" if change.field == "owner" and not change.before else change.before
-    return _WORDS[change.field].format(**words)
+def _describe_change(change):
+    values = change._asdict()
+    values["before"] = "nobody" if change.field == "owner" and not change.before else change.before
+    return _TEMPLATES[change.field].format(**values)
--- a/packages/core/src/camphorshelf_core/intents.py
+++ b/packages/core/src/camphorshelf_core/intents.py
@@ -1,4 +1,7 @@
-"""Operators' intents: how they are read, what they change and what that does."""
+"""Parses operators' intents and applies them to the configuration.
+
+An intent is an object in the body of a plan request; it is parsed to one of the update types below.
+"""
 
 from typing import Annotated, Literal, NamedTuple
 
@@ -18,7 +21,7 @@
 
 
 class TargetUpdate(NamedTuple):
-    """A target should take work or leave, and carry so much of its usual part."""
+    """Sets whether a target takes calls or leaves, and its weight in percent."""
 
     service: Name
     target: Name
@@ -27,7 +30,7 @@
 
 
 class DomainUpdate(NamedTuple):
-    """All targets of a service in a failure domain should leave, or take work again."""
+    """Makes all targets of a service in a failure domain leave or take calls again."""
 
     service: Name
     domain: Name
@@ -35,7 +38,7 @@
 
 
 class MethodUpdate(NamedTuple):
-    """A method of a service is idempotent or not, and its calls are of a class."""
+    """Sets whether a method of a service is idempotent, and the class of its calls."""
 
     service: Name
     method: Method
@@ -44,7 +47,7 @@
 
 
 class ShareUpdate(NamedTuple):
-    """A caller may hold so many of a hundred of a service's slots."""
+    """Sets the percentage of a service's slots that a caller may hold."""
 
     service: Name
     caller: Annotated[str, Field(min_length=1, max_length=63)]
@@ -52,7 +55,7 @@
 
 
 class OwnerUpdate(NamedTuple):
-    """A service belongs to a team."""
+    """Sets the team that owns a service."""
 
     service: Name
     owner: Name
@@ -60,7 +63,7 @@
 
 IntentUpdate = TargetUpdate | DomainUpdate | MethodUpdate | ShareUpdate | OwnerUpdate
 
-_SHAPES = {
+_ADAPTERS = {
     "target": TypeAdapter(TargetUpdate),
     "domain": TypeAdapter(DomainUpdate),
     "method": TypeAdapter(MethodUpdate),
@@ -70,44 +73,47 @@
 
 
 def parse_intents(raw) -> Result[tuple, Refusal]:
-    """Check the intents of a plan request.
+    """Parse and validate the intents of a plan request.
 
-    :param raw: a list of objects, as JSON gave them.
-    :return: ``Success`` of a tuple of wishes, or ``Failure`` that names the first bad field.
+    :param raw: the decoded JSON value; a valid one is a list of objects.
+    :return: ``Success`` with a tuple of updates, or ``Failure`` with a refusal that names the first
+        invalid field.
     """
     if not isinstance(raw, list) or not 0 < len(raw) <= MAX_INTENTS:
-        return _bad(f"intents: must be a list of 1 to {MAX_INTENTS} objects")
-    wishes = []
+        return _refuse(f"intents: must be a list of 1 to {MAX_INTENTS} objects")
+    updates = []
     for number, one in enumerate(raw):
-        result = _parse_one(f"intents.{number}", one)
+        result = _parse_intent(f"intents.{number}", one)
         if not isinstance(result, Success):
             return result
-        wishes.append(result.unwrap())
-    return Success(tuple(wishes))
+        updates.append(result.unwrap())
+    return Success(tuple(updates))
 
 
-def find_changes(services, wishes) -> Result[tuple, Refusal]:
-    """Compare wishes with a configuration.
+def find_changes(services, updates) -> Result[tuple, Refusal]:
+    """Compute the changes that updates make to a configuration.
 
     :param services: the services of the base version.
-    :param wishes: what :func:`parse_intents` gave.
-    :return: ``Success`` of a tuple of :class:`Change`, or ``Failure`` when nothing would change
-        or two wishes contradict each other.
+    :param updates: the updates returned by :func:`parse_intents`.
+    :return: ``Success`` with a tuple of :class:`Change`, or ``Failure`` with a refusal if nothing
+        would change or two updates contradict each other.
     """
     changes = {}
-    for wish in wishes:
-        for field, name, after in _wanted(wish):
-            subject = (wish.service, field, name)
-            if subject in changes and changes[subject] != after:
-                return _bad(f"intents: two values for {field} {name} of {wish.service}")
-            changes[subject] = after
+    for update in updates:
+        for field, name, after in _list_values(update):
+            key = (update.service, field, name)
+            if key in changes and changes[key] != after:
+                return _refuse(
+                    f"intents: conflicting values for {field} {name} of {update.service}"
+                )
+            changes[key] = after
     found = [
-        Change(*subject, before, after)
-        for subject, after in sorted(changes.items())
-        if (before := read_value(services, *subject)) != after
+        Change(*key, before, after)
+        for key, after in sorted(changes.items())
+        if (before := read_value(services, *key)) != after
     ]
     if not found:
-        reason = "the configuration in force already says all of this"
+        reason = "the configuration in force already has all of these values"
         return Failure(Refusal(Code.NO_CHANGE, reason))
     return Success(tuple(found))
 
@@ -118,8 +124,8 @@
     :param services: the services of a version.
     :param service: the service's name.
     :param field: the field of a :class:`Change`.
-    :param name: the target, failure domain, method or caller that it is about, or "".
-    :return: the value, or None when nothing is said.
+    :param name: the target, failure domain, method or caller that the value belongs to, or "".
+    :return: the value or its default; None if it isn't configured and has no default.
     """
     config = services.get(service)
     if config is None:
@@ -128,24 +134,24 @@
         return config.owner
     if field in ("state", "weight"):
         return getattr(config.targets.get(name, TargetIntent()), field)
-    return getattr(config, _TABLES[field]).get(name, _DEFAULTS.get(field))
+    return getattr(config, _CONFIG_FIELDS[field]).get(name, _DEFAULTS.get(field))
 
 
 def apply_changes(services, changes):
-    """Make the services of the next version.
+    """Apply changes to the services of a version.
 
-    :param services: those of the base version; left as they are.
+    :param services: the services of the base version; not modified.
     :param changes: the plan's changes.
     :return: the new services.
     """
     services = dict(services)
     for change in changes:
         config = services.get(change.service, ServiceConfig(""))
-        services[change.service] = _apply_one(config, change)
+        services[change.service] = _apply_change(config, change)
     return services
 
 
-def _apply_one(config, change):
+def _apply_change(config, change):
     if change.field == "owner":
         return config._replace(owner=change.after)
     if change.field in ("state", "weight"):
@@ -160,24 +166,29 @@
         if change.after == TAKE:
             del domains[change.name]
         return config._replace(domains=domains)
-    table = _TABLES[change.field]
+    table = _CONFIG_FIELDS[change.field]
     return config._replace(**{table: {**getattr(config, table), change.name: change.after}})
 
 
-_TABLES = {"idempotent": "idempotent", "class": "classes", "share": "shares", "domain": "domains"}
+_CONFIG_FIELDS = {
+    "idempotent": "idempotent",
+    "class": "classes",
+    "share": "shares",
+    "domain": "domains",
+}
 _DEFAULTS = {"state": TAKE, "weight": FULL_WEIGHT, "domain": TAKE}
 
 
 def updates_from_changes(changes):
-    """Turn changes back into wishes, to plan them again on a newer version.
+    """Turn changes back into updates, to plan them again on a newer version.
 
-    :param changes: those of a plan that lost its race.
-    :return: a tuple of wishes.
+    :param changes: the changes of a plan whose base version was replaced before its confirm.
+    :return: a tuple of updates.
     """
-    return tuple(_MAKERS[change.field](change) for change in changes)
+    return tuple(_UPDATE_FACTORIES[change.field](change) for change in changes)
 
 
-_MAKERS = {
+_UPDATE_FACTORIES = {
     "owner": lambda one: OwnerUpdate(one.service, one.after),
     "share": lambda one: ShareUpdate(one.service, one.name, one.after),
     "idempotent": lambda one: MethodUpdate(one.service, one.name, idempotent=one.after),
@@ -188,46 +199,46 @@
 }
 
 
-def _parse_one(place, one):
-    if not isinstance(one, dict):
-        return _bad(f"{place}: must be an object; saw {one!r:.80}")
-    kinds = [key for key in _SHAPES if key in one]
+def _parse_intent(path, raw):
+    if not isinstance(raw, dict):
+        return _refuse(f"{path}: must be an object; saw {raw!r:.80}")
+    kinds = [key for key in _ADAPTERS if key in raw]
     if len(kinds) != 1:
-        return _bad(f"{place}: must have exactly one of {', '.join(_SHAPES)}")
-    unknown = sorted(set(one) - set(_SHAPES[kinds[0]]._type._fields))
+        return _refuse(f"{path}: must have exactly one of {', '.join(_ADAPTERS)}")
+    unknown = sorted(set(raw) - set(_ADAPTERS[kinds[0]]._type._fields))
     if unknown:
-        return _bad(f"{place}.{unknown[0]}: unknown field")
+        return _refuse(f"{path}.{unknown[0]}: unknown field")
     try:
-        wish = _SHAPES[kinds[0]].validate_python(one)
+        update = _ADAPTERS[kinds[0]].validate_python(raw)
     except ValidationError as error:
         problem = error.errors()[0]
         field = ".".join(str(part) for part in problem["loc"])
-        return _bad(f"{place}.{field}: {problem['msg']}; saw {problem['input']!r:.80}")
-    if not _wanted(wish):
-        return _bad(f"{place}: says nothing about its {kinds[0]}")
-    return Success(wish)
-
-
-def _wanted(wish):
-    if isinstance(wish, OwnerUpdate):
-        return [("owner", "", wish.owner)]
-    if isinstance(wish, ShareUpdate):
-        return [("share", wish.caller, wish.share)]
-    if isinstance(wish, DomainUpdate):
-        return [("domain", wish.domain, wish.state)]
-    if isinstance(wish, MethodUpdate):
-        pairs = (("idempotent", wish.idempotent), ("class", wish.request_class))
-        return [(field, wish.method, value) for field, value in pairs if value is not None]
-    pairs = (("state", wish.state), ("weight", wish.weight))
-    return [(field, wish.target, value) for field, value in pairs if value is not None]
-
-
-def _bad(reason):
+        return _refuse(f"{path}.{field}: {problem['msg']}; saw {problem['input']!r:.80}")
+    if not _list_values(update):
+        return _refuse(f"{path}: sets no value for its {kinds[0]}")
+    return Success(update)
+
+
+def _list_values(update):
+    if isinstance(update, OwnerUpdate):
+        return [("owner", "", update.owner)]
+    if isinstance(update, ShareUpdate):
+        return [("share", update.caller, update.share)]
+    if isinstance(update, DomainUpdate):
+        return [("domain", update.domain, update.state)]
+    if isinstance(update, MethodUpdate):
+        pairs = (("idempotent", update.idempotent), ("class", update.request_class))
+        return [(field, update.method, value) for field, value in pairs if value is not None]
+    pairs = (("state", update.state), ("weight", update.weight))
+    return [(field, update.target, value) for field, value in pairs if value is not None]
+
+
+def _refuse(reason):
     return Failure(Refusal(Code.BAD_INTENT, reason))
 
 
 def leaving_targets(services):
-    """List the targets that should leave.
+    """Find the targets that should leave.
 
     :param services: the services of a version.
     :return: a set of pairs of service and target.
@@ -241,7 +252,7 @@
 
 
 def leaving_domains(services):
-    """List the failure domains whose targets of a service should leave.
+    """Find the failure domains in which a service's targets should leave.
 
     :param services: the services of a version.
     :return: a set of pairs of service and failure domain.
@@ -255,10 +266,10 @@
 
 
 def routing_weights(services):
-    """Give the weights that differ from the full one; a leaving target has none.
+    """Collect the weights of targets with an intent; a leaving target has the weight 0.
 
     :param services: the services of a version.
-    :return: service -> target -> weight of 0 to 100.
+    :return: service -> target -> weight from 0 to 100.
     """
     return {
         service: {
--- a/packages/core/src/camphorshelf_core/plans.py
+++ b/packages/core/src/camphorshelf_core/plans.py
@@ -1,4 +1,4 @@
-"""Plans: what would change, named by a digest, and made real by one compare-and-set."""
+"""Plans: proposed changes, identified by a digest and put in force by one compare-and-set."""
 
 from typing import NamedTuple
 
@@ -11,8 +11,8 @@
     ConfirmedVersion,
     Document,
     Head,
-    sha256_hex,
     encode_document,
+    sha256_hex,
 )
 from .effects import describe_effect
 from .errors import ProtocolError
@@ -21,7 +21,7 @@
 
 
 class Plan(NamedTuple):
-    """Changes planned on one base version; nothing of it is in force before its confirm."""
+    """Proposed changes to a base version; they have no effect until the plan is confirmed."""
 
     base: int
     base_digest: str
@@ -32,22 +32,22 @@
     planned_at: int
 
 
-def make_plan(head, document, wishes, operator, targets, planned_at) -> Result[Plan, object]:
-    """Plan wishes on a version.
+def make_plan(head, document, updates, operator, targets, planned_at) -> Result[Plan, object]:
+    """Make a plan that applies updates to a version.
 
     :param head: the :class:`Head` of the base version.
-    :param document: its :class:`Document`.
-    :param wishes: what the operator wants.
-    :param operator: who plans.
-    :param targets: service -> target -> :class:`~camphorshelf_core.effects.TargetCapacity`, for the
-        words about the effect.
-    :param planned_at: seconds of the wall clock, for the history only.
-    :return: ``Success`` of the :class:`Plan` or ``Failure`` of a refusal.
+    :param document: the :class:`Document` of the base version.
+    :param updates: the updates that the operator requests.
+    :param operator: the :class:`~camphorshelf_core.teams.Operator` who makes the plan.
+    :param targets: service -> target -> :class:`~camphorshelf_core.effects.TargetCapacity`, used to
+        describe the plan's effect.
+    :param planned_at: seconds on the wall clock; used only in the history.
+    :return: ``Success`` with the :class:`Plan`, or ``Failure`` with a refusal.
     """
-    found = find_changes(document.services, wishes)
-    if not isinstance(found, Success):
-        return found
-    changes = found.unwrap()
+    diff = find_changes(document.services, updates)
+    if not isinstance(diff, Success):
+        return diff
+    changes = diff.unwrap()
     refusal = check_scope(operator, document.services, changes)
     if refusal is not None:
         return Failure(refusal)
@@ -59,7 +59,7 @@
 
 
 def encode_plan(plan):
-    """Turn a plan into bytes; their digest is the plan's name.
+    """Encode a plan; the digest of the bytes identifies the plan.
 
     :param plan: the :class:`Plan`.
     :return: canonical CBOR.
@@ -68,11 +68,11 @@
 
 
 def decode_plan(data):
-    """Read a plan.
+    """Decode a plan.
 
-    :param data: what :func:`encode_plan` gave.
+    :param data: the bytes returned by :func:`encode_plan`.
     :return: the :class:`Plan`.
-    :raises ProtocolError: when the bytes are no plan.
+    :raises ProtocolError: if the bytes aren't a valid plan.
     """
     try:
         plan = Plan(*cbor2.loads(data))
@@ -82,20 +82,20 @@
             confirmers=tuple(plan.confirmers),
         )
     except (cbor2.CBORDecodeError, TypeError, ValueError) as error:
-        raise ProtocolError(f"not a plan: {error}") from error
+        raise ProtocolError(f"invalid plan: {error}") from error
 
 
-def make_next(base_head, base, plan, plan_digest):
-    """Make the version that a plan leads to.
+def make_next_version(base_head, base, plan, plan_digest):
+    """Make the version that results from a plan.
 
-    The body holds no time of confirming and no name of a node: two nodes that confirm one plan
-    make the same bytes, so that a repeated confirm cannot differ from the first.
+    The body contains neither the time of the confirm nor the name of a node, so two nodes that
+    confirm the same plan produce the same bytes, and so does a repeated confirm.
 
     :param base_head: the :class:`Head` of the base version.
-    :param base: its :class:`Document`.
+    :param base: the :class:`Document` of the base version.
     :param plan: the :class:`Plan`.
-    :param plan_digest: its digest.
-    :return: the pair of the new head and the new body's bytes.
+    :param plan_digest: the plan's digest.
+    :return: a pair of the new head and the bytes of the new body.
     """
     recent = base.recent
     if base.version:
--- a/packages/core/src/camphorshelf_core/versions.py
+++ b/packages/core/src/camphorshelf_core/versions.py
@@ -1,13 +1,13 @@
-"""Decides which version of the configuration a node may act on, without I/O or clock.
+"""Decides which version of the configuration a node may use, without I/O or a clock.
 
-The load pattern it answers: 1,700 changes a day, nodes that start, freeze and lose each other
-at any moment. Without it a fresh or woken node serves calls by an older version than others
-have in force, and a target that was told to leave gets new work.
+The configuration changes 1,700 times a day, and nodes start, freeze and lose contact at any time.
+Without this check, a node that has just started or resumed would serve calls with an older
+version than the one in force elsewhere, and a target that should leave would get new calls.
 
-A version is *proved* in an epoch. An epoch begins at the start of the process and whenever the
-process has not run for a while; only answers to questions asked in the epoch count. A frozen
-process finds old answers in its socket buffers when it wakes, and would otherwise take them
-for news.
+A version is *proved* in an epoch once the platform, or enough peers, report no newer one.
+An epoch begins when the process starts and whenever the process has not run for some time; only
+answers to requests sent in the epoch count. A process that was frozen finds old answers in its
+socket buffers when it resumes and would otherwise take them for current ones.
 """
 
 from typing import NamedTuple
@@ -20,15 +20,15 @@
 _RETRY_AFTER_MS = 1000
 
 
-class Need(NamedTuple):
-    """The version that must be reached to be proved, and who said so."""
+class RequiredVersion(NamedTuple):
+    """The version that this node must have to be proved, and the source that reported it."""
 
     source: str
     version: int
 
 
 class PeerVersion(NamedTuple):
-    """What a peer answered when asked for its version."""
+    """A peer's answer to a request for its version."""
 
     node: str
     failure_domain: str
@@ -38,7 +38,7 @@
 
 
 class LocalVersion:
-    """The version in force at one node and the proof that it is not an older one."""
+    """The version in force at one node, and whether it is proved to be current."""
 
     def __init__(self, settings, now):
         self._settings = settings
@@ -48,9 +48,9 @@
         self._epoch = 0
         self._highest = 0
         self._behind_since = None
-        self._last_run = now
+        self._last_active = now
         self._last_contact = now
-        self._others_known = False
+        self._has_peers = False
         self.violations = 0
         self.rejected = 0
         self._begin_epoch(now)
@@ -77,42 +77,42 @@
 
     @property
     def highest(self):
-        """The highest version heard of."""
+        """The highest version number known to exist."""
         return self._highest
 
     @property
     def epoch(self):
-        """The number that questions carry; answers to earlier ones prove nothing."""
+        """The number of the current epoch; answers to requests of earlier epochs are ignored."""
         return self._epoch
 
     @property
     def proved_by(self):
-        """Who proved the version in this epoch: ``PLATFORM``, ``PEERS`` or None."""
+        """The source that proved the version in this epoch: ``PLATFORM``, ``PEERS`` or None."""
         return self._proved_by
 
-    def record_activity(self, now, others_known):
-        """Say that the process runs; to be called several times a second and before each call.
+    def record_activity(self, now, has_peers):
+        """Record that the process is running; called several times a second and before each call.
 
         :param now: seconds on the monotonic clock.
-        :param others_known: whether the roster knows of other nodes.
-        :return: True when the process had been frozen and a new epoch began.
+        :param has_peers: whether the roster contains other nodes.
+        :return: True if the process was frozen and a new epoch began.
         """
-        # Threshold: a stopped process is told from a busy one by seconds. A shorter one would
-        # make a node that was only starved of processor refuse calls; a longer one lets a
-        # woken node act that much longer on what it knew before.
-        frozen = now - self._last_run > self._settings.freeze_ms / 1000
-        self._last_run = now
-        self._others_known = self._others_known or others_known
+        # A threshold of seconds distinguishes a frozen process from a busy one. With a shorter one,
+        # a node that only lacked processor time would refuse calls; with a longer one, a resumed
+        # node would use its old version for longer.
+        frozen = now - self._last_active > self._settings.freeze_ms / 1000
+        self._last_active = now
+        self._has_peers = self._has_peers or has_peers
         if frozen:
             self._begin_epoch(now)
         return frozen
 
     def observe_version(self, version, now):
-        """Take note that a version exists somewhere.
+        """Record that a version exists.
 
-        :param version: its number.
+        :param version: the number of the version.
         :param now: seconds on the monotonic clock.
-        :return: True when this node is behind it.
+        :return: True if this node's version is older.
         """
         self._highest = max(self._highest, version)
         if self.version < self._highest and self._behind_since is None:
@@ -120,52 +120,52 @@
         return self.version < version
 
     def on_head(self, epoch, head, now):
-        """Take the platform's answer to a question for the head row.
+        """Process the platform's answer to a request for the head row.
 
-        :param epoch: the epoch in which it was asked.
-        :param head: the :class:`Head`, or None when the platform did not answer.
+        :param epoch: the epoch in which the request was sent.
+        :param head: the :class:`Head`, or None if the platform did not answer.
         :param now: seconds on the monotonic clock.
-        :return: True when this node is behind.
+        :return: True if this node's version is older than the head's.
         """
         if epoch != self._epoch:
             return False
         if head is None:
             self._platform_failed = True
-            self._weigh_peers()
+            self._evaluate_peers()
             return False
-        self._check_same(head.version, head.digest)
+        self._check_digest(head.version, head.digest)
         self._last_contact = now
-        self._needed = Need(PLATFORM, head.version)
+        self._required = RequiredVersion(PLATFORM, head.version)
         behind = self.observe_version(head.version, now)
-        self._prove()
+        self._update_proof()
         return behind
 
     def on_peer(self, epoch, answer, now):
-        """Take a peer's answer.
+        """Process a peer's answer to a request for its version.
 
-        :param epoch: the epoch in which it was asked.
+        :param epoch: the epoch in which the request was sent.
         :param answer: the :class:`PeerVersion`.
         :param now: seconds on the monotonic clock.
-        :return: True when this node is behind the peer.
+        :return: True if this node's version is older than the peer's.
         """
         if epoch != self._epoch:
             return False
-        self._check_same(answer.version, answer.digest)
+        self._check_digest(answer.version, answer.digest)
         behind = self.observe_version(answer.version, now)
-        # Only a proved peer counts: two fresh nodes would else vouch for each other's nothing.
+        # Only a proved peer counts; otherwise two new nodes could prove each other's empty version.
         if answer.proved:
             self._last_contact = now
             self._peers[answer.node] = answer
-            self._weigh_peers()
+            self._evaluate_peers()
         return behind
 
     def install(self, body, digest, now):
-        """Put a body in force if it is whole and newer.
+        """Put a body in force if it is intact and newer.
 
-        :param body: its bytes.
-        :param digest: the digest that it was asked for by.
+        :param body: the bytes of the body.
+        :param digest: the digest for which the body was requested.
         :param now: seconds on the monotonic clock.
-        :return: True when a newer version is now in force.
+        :return: True if the body is now in force.
         """
         if sha256_hex(body) != digest:
             self.rejected += 1
@@ -175,22 +175,22 @@
         except ProtocolError:
             self.rejected += 1
             return False
-        # Never a lower one: answers overtake each other, and a body fetched before a newer
-        # one arrived would take the node back to intents that operators have replaced.
+        # Never an older version: answers may arrive out of order, and a body that was requested
+        # before a newer one arrived would restore intents that operators have replaced.
         if document.version <= self.version:
-            self._check_same(document.version, digest)
+            self._check_digest(document.version, digest)
             return False
         self._body, self._document, self._digest = body, document, digest
         self._highest = max(self._highest, self.version)
         self._behind_since = now if self.version < self._highest else None
-        self._prove()
+        self._update_proof()
         return True
 
     def find_refusal(self, now):
-        """Tell why the node must take no calls now.
+        """Find out whether the node must refuse calls now.
 
         :param now: seconds on the monotonic clock.
-        :return: a :class:`Refusal`, or None when the version in force may be acted on.
+        :return: a :class:`Refusal`, or None if the version in force may be used.
         """
         reason = self._find_reason(now)
         if reason is None:
@@ -200,50 +200,52 @@
     def _find_reason(self, now):
         settings = self._settings
         if self.violations:
-            return "two bodies claim one version; operators have to look"
-        if now - self._last_run > settings.freeze_ms / 1000:
-            return "the node has just woken and asks whether its configuration still holds"
+            return "two different bodies have the same version number; an operator must check them"
+        if now - self._last_active > settings.freeze_ms / 1000:
+            return "the node was frozen and is checking whether its configuration is current"
         if self._proved_by is None:
             return f"the configuration is not proved yet ({self._describe_proof()})"
         behind = self._behind_since
         if behind is not None and now - behind > settings.behind_ms / 1000:
-            return f"version {self._highest} exists and could not be fetched"
-        alone = settings.cut_off_ms and self._others_known
-        if alone and now - self._last_contact > settings.cut_off_ms / 1000:
+            return f"version {self._highest} exists but could not be fetched"
+        check_contact = settings.cut_off_ms and self._has_peers
+        if check_contact and now - self._last_contact > settings.cut_off_ms / 1000:
             return "neither the platform nor any peer answers"
         return None
 
     def _begin_epoch(self, now):
         self._epoch += 1
         self._proved_by = None
-        self._needed = None
+        self._required = None
         self._platform_failed = False
         self._peers = {}
         self._last_contact = now
 
-    def _weigh_peers(self):
-        if not self._platform_failed or self._needed is not None:
+    def _evaluate_peers(self):
+        if not self._platform_failed or self._required is not None:
             return
         domains = {answer.failure_domain for answer in self._peers.values()}
         if len(domains) < self._settings.proof_domains:
             return
-        # One failure domain may be cut off from the rest and hold an older version as one;
-        # peers of another domain would have heard a newer one if it was spread at all.
-        self._needed = Need(PEERS, max(answer.version for answer in self._peers.values()))
-        self._prove()
+        # Peers in several failure domains are required: one domain may be cut off from the rest
+        # with an older version, while peers in another domain would know a newer version.
+        self._required = RequiredVersion(
+            PEERS, max(answer.version for answer in self._peers.values())
+        )
+        self._update_proof()
 
-    def _prove(self):
-        needed = self._needed
-        if self._proved_by is None and needed is not None and self.version >= needed.version:
-            self._proved_by = needed.source
+    def _update_proof(self):
+        required = self._required
+        if self._proved_by is None and required is not None and self.version >= required.version:
+            self._proved_by = required.source
 
-    def _check_same(self, version, digest):
+    def _check_digest(self, version, digest):
         if version == self.version and digest != self._digest:
             self.violations += 1
 
     def _describe_proof(self):
-        if self._needed is not None:
-            return f"version {self._needed.version} is being fetched"
+        if self._required is not None:
+            return f"version {self._required.version} is being fetched"
         if not self._platform_failed:
             return "the platform has been asked"
         domains = {answer.failure_domain for answer in self._peers.values()}
