--- a/bench/gate.py
+++ b/bench/gate.py
@@ -12,7 +12,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
 
-from camphorshelf_core.admission import POLICIES, Gate, Ticket  # noqa: E402
+from camphorshelf_core.admission import POLICIES, Gate, PendingCall  # noqa: E402
 from standins.gate_play import GatePlay, percentile, poisson, served  # noqa: E402
 
 _CALLS = 20_000
@@ -28,7 +28,7 @@
 
     def make(number):
         name = names[number % len(names)]
-        ticket = Ticket(1e9, lambda: running.append(ticket), lambda _: None, caller=name)
+        ticket = PendingCall(1e9, lambda: running.append(ticket), lambda _: None, caller=name)
         ticket.kind = "tags"
         return ticket
 
--- a/packages/core/src/camphorshelf_core/isolation.py
+++ b/packages/core/src/camphorshelf_core/isolation.py
@@ -1,8 +1,8 @@
 """Keeps two suspects from running at one target at the same time.
 
-Two suspects beside each other at a crash would both be blamed, the innocent one with the
-guilty. Running a suspect with the whole target to itself would name it no better, because
-only suspects are blamed, and would leave nine of ten slots empty while it runs.
+If two suspects ran at once when the target crashed, both would be blamed, the innocent one too. A
+suspect needn't have the target to itself: only suspects are blamed, and nine of ten slots would
+stay empty while it runs.
 """
 
 from collections import deque
@@ -10,8 +10,8 @@
 _MAX_WAITING = 16
 
 
-class Lane:
-    """Lets one suspect through at a time; a few wait."""
+class SuspectLimiter:
+    """Admits one suspect at a time and queues a few others."""
 
     def __init__(self):
         self._running = None
@@ -19,17 +19,17 @@
 
     @property
     def running(self):
-        """The suspect that is let through, or None."""
+        """The suspect that may run, or None."""
         return self._running
 
     def __len__(self):
         return len(self._waiting)
 
-    def enter(self, suspect):
-        """Let a suspect through or make it wait.
+    def acquire(self, suspect):
+        """Admit a suspect or queue it.
 
-        :param suspect: whatever :meth:`leave` is to give back in its turn.
-        :return: True when it may go on now, False when it waits, None when there is no room.
+        :param suspect: any object; :meth:`release` returns it when its turn comes.
+        :return: True if it may run now, False if it is queued, None if the queue is full.
         """
         if self._running is None:
             self._running = suspect
@@ -39,11 +39,11 @@
         self._waiting.append(suspect)
         return False
 
-    def leave(self, suspect):
-        """Take a suspect out, running or waiting.
+    def release(self, suspect):
+        """Remove a suspect, running or queued.
 
-        :param suspect: what was given to :meth:`enter`.
-        :return: the suspect whose turn it is now, or None.
+        :param suspect: the object that was given to :meth:`acquire`.
+        :return: the suspect that may run now, or None.
         """
         if suspect is not self._running:
             if suspect in self._waiting:
--- a/packages/core/src/camphorshelf_core/quarantine.py
+++ b/packages/core/src/camphorshelf_core/quarantine.py
@@ -1,17 +1,17 @@
-"""Recognises the request that crashes each target that runs it, across targets and resends.
+"""Identifies requests that crash the targets that run them, across targets and resends.
 
-Answers the one request that its caller sends again and again while it takes down a target
-each time: without this a service of three targets is gone after three tries.
+Handles a request that crashes its target and that its caller sends again and again: without a
+quarantine, a service of three targets is down after three attempts.
 
-The rule. When a target dies, the calls in flight there are its suspects. If one of them was a
-suspect before, it alone is blamed; if none was, all are. A suspect that then runs to its
-answer is cleared. Suspects run on, but never two at one target, so that the next crash names
-one. A request blamed for enough crashes is refused everywhere until a time has passed or an
-operator lifts it.
+When a target crashes, the requests in flight there are suspects. If any of them were suspects
+before, only these are blamed; otherwise all are. A suspect that then runs to its answer is cleared.
+Suspects continue to run, but never two at one target at once, so that the next crash identifies
+one. A request that is blamed for enough crashes is refused everywhere, until the hold time has
+passed or an operator lifts the quarantine.
 
-Each node writes only its own count of crashes per request, so counts from several nodes add
-up and none overwrites another. Times are wall-clock seconds, because they are compared across
-nodes; skew makes a quarantine shorter or longer by as much, and nothing else rests on it.
+Each node writes only its own count of crashes per request, so the counts of several nodes add up
+and none overwrites another. Times are wall-clock seconds, because they are compared across nodes.
+Clock skew makes a quarantine longer or shorter by as much and affects nothing else.
 """
 
 from enum import IntEnum
@@ -20,12 +20,12 @@
 
 _DIGEST_BYTES = 16
 _NODES_PER_RECORD = 8
-# An eighth goes at once when there are too many: one sort for many additions.
-_EVICTED_SHARE = 8
+# An eighth of the records is evicted at once, so that one sort serves many additions.
+_EVICTION_DIVISOR = 8
 
 
 class Standing(IntEnum):
-    """What is held against a request."""
+    """The state of a request in the quarantine."""
 
     CLEAR = 0
     SUSPECT = 1
@@ -33,7 +33,7 @@
 
 
 class Crashes(NamedTuple):
-    """How often one node saw its target die under a request, and when last."""
+    """How often one node saw its target crash under a request, and when last (wall clock)."""
 
     count: int
     at: float
@@ -47,21 +47,23 @@
         self.cleared_at = 0.0
 
     def count(self):
-        return sum(one.count for one in self.by_node.values() if one.at > self.cleared_at)
+        return sum(
+            crashes.count for crashes in self.by_node.values() if crashes.at > self.cleared_at
+        )
 
-    def last(self):
-        return max((one.at for one in self.by_node.values()), default=0.0)
+    def last_crash_at(self):
+        return max((crashes.at for crashes in self.by_node.values()), default=0.0)
 
 
 def fingerprint(service, method, path, body):
-    """Name what a request asks for, whoever sends it and whenever.
+    """Return the fingerprint of a request; it is the same for every caller and at any time.
 
-    The idempotency key is left out: a resend with the same key has the same body or is
-    refused for it, and a caller that draws a new key for each try must not slip through.
+    It doesn't contain the idempotency key. A resend with the same key has the same body or is
+    refused, and a caller that uses a new key for each attempt must not evade the quarantine.
 
     :param service: the service's name.
     :param method: the HTTP method.
-    :param path: the request's target, as bytes.
+    :param path: the request's path, as bytes.
     :param body: the body, as bytes.
     :return: the service's name, a dot and a hexadecimal digest.
     """
@@ -73,13 +75,18 @@
 
 
 class Quarantine:
-    """What is known of requests under which targets died; bounded and forgetful."""
+    """The crash counts of requests, limited in number and dropped after a time.
+
+    :param settings: the limits, with the attributes ``crashes`` (count), ``suspicion_ms``,
+        ``hold_ms`` and ``remembered`` (records).
+    :param node: the name of this node.
+    """
 
     def __init__(self, settings, node):
-        self._limit = settings.crashes
-        self._suspicion = settings.suspicion_ms / 1000
-        self._hold = settings.hold_ms / 1000
-        self._remembered = settings.remembered
+        self._max_crashes = settings.crashes
+        self._suspicion_s = settings.suspicion_ms / 1000
+        self._hold_s = settings.hold_ms / 1000
+        self._max_records = settings.remembered
         self._node = node
         self._records = {}
 
@@ -90,7 +97,7 @@
         return iter(list(self._records))
 
     def standing(self, name, now):
-        """Tell what is held against a request.
+        """Return the standing of a request.
 
         :param name: its fingerprint.
         :param now: wall-clock seconds.
@@ -100,90 +107,97 @@
         if record is None:
             return Standing.CLEAR
         count = record.count()
-        if count >= self._limit:
-            return Standing.REFUSED if now < record.last() + self._hold else Standing.CLEAR
-        if count and now < record.last() + self._suspicion:
+        if count >= self._max_crashes:
+            return (
+                Standing.REFUSED if now < record.last_crash_at() + self._hold_s else Standing.CLEAR
+            )
+        if count and now < record.last_crash_at() + self._suspicion_s:
             return Standing.SUSPECT
         return Standing.CLEAR
 
     def seconds_left(self, name, now):
-        """Tell for how long a request stays refused.
+        """Return how long a request stays refused.
 
         :param name: its fingerprint.
         :param now: wall-clock seconds.
-        :return: seconds, 0 when it is not refused.
+        :return: seconds, 0.0 when it is not refused.
         """
         if self.standing(name, now) is not Standing.REFUSED:
             return 0.0
-        return self._records[name].last() + self._hold - now
+        return self._records[name].last_crash_at() + self._hold_s - now
 
     def evidence(self, name):
-        """List the crashes held against a request.
+        """Return the crashes that count against a request.
 
         :param name: its fingerprint.
-        :return: a dict of node to :class:`Crashes`, and the moment it was last cleared.
+        :return: the pair of a dict of :class:`Crashes` by node, and when the request was last
+            cleared, in wall-clock seconds.
         """
         record = self._records.get(name)
         if record is None:
             return {}, 0.0
-        live = {node: one for node, one in record.by_node.items() if one.at > record.cleared_at}
-        return live, record.cleared_at
+        current = {
+            node: crashes
+            for node, crashes in record.by_node.items()
+            if crashes.at > record.cleared_at
+        }
+        return current, record.cleared_at
 
     def cleared_at(self, name):
-        """Tell when a request was last cleared.
+        """Return when a request was last cleared.
 
         :param name: its fingerprint.
-        :return: wall-clock seconds, 0 when never.
+        :return: wall-clock seconds, 0.0 when never.
         """
         return self.evidence(name)[1]
 
-    def note_crash(self, names, now):
-        """Blame the calls that were in flight at the target beside this node when it died.
+    def record_crash(self, names, now):
+        """Record a crash of this node's target, and blame requests that were in flight.
 
-        :param names: their fingerprints.
+        :param names: the fingerprints of all requests that were in flight.
         :param now: wall-clock seconds.
-        :return: the fingerprints that were blamed.
+        :return: the fingerprints that are blamed.
         """
         names = set(names)
         blamed = {name for name in names if self.standing(name, now) is not Standing.CLEAR}
         blamed = blamed or names
         for name in blamed:
-            live, _ = self.evidence(name)
-            before = live.get(self._node, Crashes(0, now)).count
-            self.learn_crashes(name, self._node, Crashes(before + 1, now), now)
+            current, _ = self.evidence(name)
+            before = current.get(self._node, Crashes(0, now)).count
+            self.merge_crashes(name, self._node, Crashes(before + 1, now), now)
         return blamed
 
-    def note_clean(self, name, started, now):
-        """Clear a suspect that ran to its answer; one that is refused stays so.
+    def record_completed(self, name, started, now):
+        """Clear a suspect that ran to its answer; a refused request stays refused.
 
         :param name: its fingerprint.
         :param started: when the run began, in wall-clock seconds.
         :param now: wall-clock seconds.
-        :return: True when it was cleared by this.
+        :return: whether it was cleared now.
         """
         if self.standing(name, now) is not Standing.SUSPECT:
             return False
-        if started < self._records[name].last():
+        if started < self._records[name].last_crash_at():
             return False
-        self.learn_cleared(name, now)
+        self.merge_cleared(name, now)
         return True
 
     def lift(self, name, now):
-        """Forgive a request, whatever is held against it.
+        """Lift the quarantine or suspicion of a request.
 
         :param name: its fingerprint.
         :param now: wall-clock seconds.
-        :return: True when something was held against it.
+        :return: whether the request was a suspect or refused.
         """
         if self.standing(name, now) is Standing.CLEAR:
             return False
-        self.learn_cleared(name, max(now, self._records[name].last()))
+        self.merge_cleared(name, max(now, self._records[name].last_crash_at()))
         return True
 
-    def learn_crashes(self, name, node, crashes, now):
-        """Take in what a node counted; an older count changes nothing.
+    def merge_crashes(self, name, node, crashes, now):
+        """Merge the crash count of a node; an older count changes nothing.
 
-        :param name: the fingerprint.
+        :param name: the request's fingerprint.
         :param node: the node that counted.
         :param crashes: its :class:`Crashes`.
         :param now: wall-clock seconds.
@@ -191,53 +205,53 @@
         """
         record = self._record(name, now)
         known = record.by_node.get(node)
-        # The count decides between two of the same moment, so that their order does not.
+        # Of two counts at the same time the higher one wins, whatever their order.
         if known is not None and (known.at, known.count) >= (crashes.at, crashes.count):
             return
         if known is None and len(record.by_node) >= _NODES_PER_RECORD:
             return
         record.by_node[node] = crashes
 
-    def learn_cleared(self, name, at):
-        """Take in that a request was cleared or lifted.
+    def merge_cleared(self, name, at):
+        """Merge the time at which a request was cleared or its quarantine lifted.
 
-        :param name: the fingerprint.
-        :param at: when, in wall-clock seconds.
+        :param name: the request's fingerprint.
+        :param at: the time in wall-clock seconds.
         :return: None.
         """
         record = self._record(name, at)
         record.cleared_at = max(record.cleared_at, at)
 
-    def forget_old(self, now):
-        """Drop records that no longer hold anything against a request.
+    def remove_expired(self, now):
+        """Drop the records that no longer affect a request.
 
         :param now: wall-clock seconds.
-        :return: the fingerprints dropped.
+        :return: the fingerprints that were dropped.
         """
-        longest = max(self._hold, self._suspicion)
-        old = [
+        lifetime_s = max(self._hold_s, self._suspicion_s)
+        expired = [
             name
             for name, record in self._records.items()
-            if max(record.last(), record.cleared_at) + longest < now
+            if max(record.last_crash_at(), record.cleared_at) + lifetime_s < now
         ]
-        for name in old:
+        for name in expired:
             del self._records[name]
-        return old
+        return expired
 
     def _record(self, name, now):
         record = self._records.get(name)
         if record is None:
-            if len(self._records) >= self._remembered:
+            if len(self._records) >= self._max_records:
                 self._evict(now)
             record = self._records[name] = _Record()
         return record
 
     def _evict(self, now):
-        # Refused requests go last: a flood of innocent suspects must not push out the one
+        # Refused requests are evicted last: many harmless suspects must not displace the one
         # request that is known to crash targets.
-        def worth(name):
-            return self.standing(name, now), self._records[name].last()
+        def eviction_key(name):
+            return self.standing(name, now), self._records[name].last_crash_at()
 
-        by_worth = sorted(self._records, key=worth)
-        for name in by_worth[: max(1, len(by_worth) // _EVICTED_SHARE)]:
+        by_eviction_order = sorted(self._records, key=eviction_key)
+        for name in by_eviction_order[: max(1, len(by_eviction_order) // _EVICTION_DIVISOR)]:
             del self._records[name]
--- a/packages/core/src/camphorshelf_core/refusal.py
+++ b/packages/core/src/camphorshelf_core/refusal.py
@@ -1,47 +1,47 @@
-"""Says when a refused caller should come back.
+"""Chooses the delay after which a refused caller should retry.
 
-Answers a burst that is refused as a whole. With one fixed Retry-After all of it comes back in
-the same moment and is refused again, for ever; spread over the time that serving them takes,
-each finds room.
+Handles a burst that is refused as a whole. With one fixed Retry-After the whole burst would return
+in the same moment and be refused again, for ever. The delays are spread over the time that the
+target needs to serve all these calls, so that each of them is admitted.
 """
 
 from math import ceil
 
-_LEAST_SECONDS = 0.05
-_MOST_SECONDS = 10.0
+_MIN_SECONDS = 0.05
+_MAX_SECONDS = 10.0
 _HALF_LIFE_SECONDS = 1.0
-# The refused come back at two thirds of what the target serves; the rest is for newcomers.
-_HEADROOM = 1.5
+# Retries use two thirds of the target's capacity; the rest is left for new calls.
+_BACKLOG_FACTOR = 1.5
 _JITTER = 0.5
-# Taken for a call's time before the first one has ended.
-_UNKNOWN_SECONDS = 0.01
+# Assumed service time until the first call has ended.
+_DEFAULT_SERVICE_SECONDS = 0.01
 
 
 class RetryAfter:
-    """Spreads the refused over the time that the target needs for them."""
+    """Spreads the retries of refused calls over the time that the target needs to serve them."""
 
     def __init__(self, random):
         self._random = random
-        self._refused = 0.0
-        self._at = 0.0
+        self._recent_refusals = 0.0
+        self._decayed_at = 0.0
 
-    def give(self, queued, limit, service_seconds, now):
-        """Draw a time for one refused call.
+    def draw_ms(self, queued, limit, service_seconds, now):
+        """Draw the delay for one refused call.
 
-        :param queued: calls in line.
-        :param limit: calls that run at once.
-        :param service_seconds: the time a call takes.
+        :param queued: how many calls are queued.
+        :param limit: how many calls may run at once.
+        :param service_seconds: the mean service time; 0 when it is unknown.
         :param now: seconds on the monotonic clock.
         :return: milliseconds.
         """
-        self._refused *= 0.5 ** ((now - self._at) / _HALF_LIFE_SECONDS)
-        self._refused += 1
-        self._at = now
-        each = (service_seconds or _UNKNOWN_SECONDS) / max(1, limit)
-        drained = max(_LEAST_SECONDS, queued * each)
-        # The hundredth refused is sent behind the ninety-nine before it, roughly: a draw from
-        # one common span would bring the first ones back too close together.
-        turn = self._refused * each * _HEADROOM
-        wait = drained + turn * self._random.uniform(1 - _JITTER, 1 + _JITTER)
-        wait += _LEAST_SECONDS * self._random.random()
-        return ceil(min(_MOST_SECONDS, wait) * 1000)
+        self._recent_refusals *= 0.5 ** ((now - self._decayed_at) / _HALF_LIFE_SECONDS)
+        self._recent_refusals += 1
+        self._decayed_at = now
+        seconds_per_call = (service_seconds or _DEFAULT_SERVICE_SECONDS) / max(1, limit)
+        queue_drain_s = max(_MIN_SECONDS, queued * seconds_per_call)
+        # The hundredth refused call is scheduled roughly behind the other ninety-nine: random
+        # delays from one common range would bring the first calls back too close together.
+        retry_backlog_s = self._recent_refusals * seconds_per_call * _BACKLOG_FACTOR
+        wait_s = queue_drain_s + retry_backlog_s * self._random.uniform(1 - _JITTER, 1 + _JITTER)
+        wait_s += _MIN_SECONDS * self._random.random()
+        return ceil(min(_MAX_SECONDS, wait_s) * 1000)
--- a/packages/core/src/camphorshelf_core/shares.py
+++ b/packages/core/src/camphorshelf_core/shares.py
@@ -1,39 +1,42 @@
-"""Fair shares of a target's slots: whose call is next, and whose goes when the queue is full.
+"""Fair sharing of a target's slots: which call starts next, and which is evicted from a full queue.
 
-Answers the load in which a few callers send most of it. Without it, first come is first
-served: a caller that sends a hundred calls at once holds every slot and the whole queue, and
-a counter clerk's single lookup waits behind them or is refused.
+Handles load that comes mostly from a few callers. In first-come-first-served order a caller that
+sends a hundred calls at once would hold every slot and the whole queue, and a single lookup of a
+shop clerk would wait behind them or be refused.
 """
 
 from collections import OrderedDict
 
-# A caller's past use halves in this time: long enough to outlast one burst, short enough that
-# nobody pays a minute later for load that has long gone.
+# The half-life of a caller's past usage: it outlasts one burst, and no caller is disadvantaged a
+# minute later for load that ended long ago.
 _HALF_LIFE_SECONDS = 5.0
-# Callers whose past use is kept. Only those that hold a slot must be known exactly; the rest
-# just break ties, so the least recently served may be forgotten.
-_KEPT = 1024
+# Past usage is kept for this many names. Only names that hold a slot must be counted exactly; for
+# the others usage just breaks ties, so the least recently served one is dropped.
+_MAX_ACCOUNTS = 1024
 
 
 class _Account:
-    __slots__ = ("held", "used", "at", "weight")
+    __slots__ = ("held", "used_s", "charged_at", "weight")
 
     def __init__(self, weight, now):
         self.held = 0
-        self.used = 0.0
-        self.at = now
+        self.used_s = 0.0
+        self.charged_at = now
         self.weight = weight
 
     def charge(self, seconds, now):
-        self.used = self.level(now) + seconds
-        self.at = now
+        self.used_s = self.decayed_use(now) + seconds
+        self.charged_at = now
 
-    def level(self, now):
-        return self.used * 0.5 ** ((now - self.at) / _HALF_LIFE_SECONDS)
+    def decayed_use(self, now):
+        return self.used_s * 0.5 ** ((now - self.charged_at) / _HALF_LIFE_SECONDS)
 
 
-class Shares:
-    """Counts the slots that each name holds and the slot-seconds it used lately."""
+class SlotUsage:
+    """Counts the slots that each caller or team holds, and the slot-seconds it used lately.
+
+    :param weights: the weight of each name; 1 for a name that isn't listed.
+    """
 
     def __init__(self, weights=None):
         self._weights = weights or {}
@@ -42,8 +45,8 @@
     def __len__(self):
         return len(self._accounts)
 
-    def take(self, name, now):
-        """Note that a name got a slot.
+    def acquire(self, name, now):
+        """Record that a caller or team got a slot.
 
         :param name: a caller or team.
         :param now: seconds on the monotonic clock.
@@ -52,11 +55,11 @@
         account = self._accounts.get(name)
         if account is None:
             account = self._accounts[name] = _Account(self._weights.get(name, 1), now)
-            self._shrink()
+            self._drop_idle_account()
         account.held += 1
 
-    def give_back(self, name, seconds, now):
-        """Note that a name gave its slot back.
+    def release(self, name, seconds, now):
+        """Record that a caller or team released a slot.
 
         :param name: a caller or team.
         :param seconds: how long it held the slot.
@@ -69,32 +72,32 @@
         self._accounts.move_to_end(name)
 
     def held(self, name):
-        """Count the slots that a name holds.
+        """Return the slots that a caller or team holds, in relation to its weight.
 
         :param name: a caller or team.
-        :return: the count, divided by the name's weight.
+        :return: the number of slots, divided by the weight.
         """
         account = self._accounts.get(name)
         return account.held / account.weight if account else 0
 
     def rank(self, name, now):
-        """Say how much a name has had; the least is next.
+        """Return the sort key of a caller or team; the lowest one is served next.
 
-        Slots held come first, so that a caller of long calls cannot hold more of them than
-        one of short calls; slot-seconds used break ties, so that among more callers than
-        slots the turns go round.
+        The slots held come first, so that a caller of long calls can't hold more of them than a
+        caller of short calls. The slot-seconds used break ties, so that the turns rotate when
+        there are more callers than slots.
 
         :param name: a caller or team.
         :param now: seconds on the monotonic clock.
-        :return: a pair that sorts.
+        :return: the pair of slots held and slot-seconds used, each divided by the weight.
         """
         account = self._accounts.get(name)
         if account is None:
             return (0, 0.0)
-        return (account.held / account.weight, account.level(now) / account.weight)
+        return (account.held / account.weight, account.decayed_use(now) / account.weight)
 
-    def _shrink(self):
-        if len(self._accounts) <= _KEPT:
+    def _drop_idle_account(self):
+        if len(self._accounts) <= _MAX_ACCOUNTS:
             return
         for name, account in self._accounts.items():
             if account.held == 0:
@@ -103,126 +106,130 @@
 
 
 class FairQueue:
-    """Calls of one class in line, by team, then caller, then deadline."""
+    """Queued calls of one class, ordered by team, then by caller, then by deadline.
+
+    :param callers: the :class:`SlotUsage` of callers.
+    :param teams: the :class:`SlotUsage` of teams.
+    """
 
     def __init__(self, callers, teams):
-        self._callers = callers
-        self._teams = teams
-        self._lines = {}
+        self._caller_usage = callers
+        self._team_usage = teams
+        self._queues = {}
         self._size = 0
 
     def __len__(self):
         return self._size
 
     def __iter__(self):
-        for team in self._lines.values():
-            for line in team.values():
-                yield from line
+        for team in self._queues.values():
+            for queue in team.values():
+                yield from queue
 
-    def waiting(self, ticket):
-        """Count who waits beside a call.
+    def count_waiting(self, call):
+        """Count the queued calls of the same caller, and the callers with queued calls.
 
-        :param ticket: the call's ticket.
-        :return: the pair of calls its caller has in line and callers in line.
+        :param call: the :class:`~camphorshelf_core.admission.PendingCall`.
+        :return: the pair of both counts.
         """
-        own = self._lines.get(ticket.team, {}).get(ticket.caller, ())
-        return len(own), sum(len(team) for team in self._lines.values())
+        own = self._queues.get(call.team, {}).get(call.caller, ())
+        return len(own), sum(len(team) for team in self._queues.values())
 
-    def push(self, ticket):
-        """Put a call in line.
+    def push(self, call):
+        """Queue a call.
 
-        :param ticket: the call's ticket.
+        :param call: the :class:`~camphorshelf_core.admission.PendingCall`.
         :return: None.
         """
-        line = self._lines.setdefault(ticket.team, {}).setdefault(ticket.caller, [])
-        at = len(line)
-        while at and line[at - 1].deadline > ticket.deadline:
-            at -= 1
-        line.insert(at, ticket)
+        queue = self._queues.setdefault(call.team, {}).setdefault(call.caller, [])
+        index = len(queue)
+        while index and queue[index - 1].deadline > call.deadline:
+            index -= 1
+        queue.insert(index, call)
         self._size += 1
 
     def pop(self, now):
-        """Take the next call out of line.
+        """Remove and return the next call.
 
         :param now: seconds on the monotonic clock.
-        :return: the ticket.
+        :return: the :class:`~camphorshelf_core.admission.PendingCall`.
         """
-        name = min(self._lines, key=lambda one: self._teams.rank(one, now))
-        team = self._lines[name]
-        caller = min(team, key=lambda one: self._callers.rank(one, now))
-        ticket = team[caller][0]
-        self.remove(ticket)
-        return ticket
+        name = min(self._queues, key=lambda candidate: self._team_usage.rank(candidate, now))
+        team = self._queues[name]
+        caller = min(team, key=lambda candidate: self._caller_usage.rank(candidate, now))
+        call = team[caller][0]
+        self.remove(call)
+        return call
 
-    def remove(self, ticket):
-        """Take a call out of line, wherever it stands.
+    def remove(self, call):
+        """Remove a queued call.
 
-        :param ticket: the call's ticket.
+        :param call: the :class:`~camphorshelf_core.admission.PendingCall`.
         :return: None.
         """
-        team = self._lines[ticket.team]
-        line = team[ticket.caller]
-        line.remove(ticket)
+        team = self._queues[call.team]
+        queue = team[call.caller]
+        queue.remove(call)
         self._size -= 1
-        if not line:
-            del team[ticket.caller]
+        if not queue:
+            del team[call.caller]
         if not team:
-            del self._lines[ticket.team]
+            del self._queues[call.team]
 
-    def victim(self, ticket):
-        """Choose who goes when the line is full: the last call of whoever has the most.
+    def choose_evicted(self, call):
+        """Choose the call to evict from a full queue: the last one of whoever has the most.
 
-        :param ticket: the call that arrives.
-        :return: a ticket in line, or the arriving one.
+        :param call: the arriving :class:`~camphorshelf_core.admission.PendingCall`.
+        :return: a queued call, or the arriving one.
         """
-        team = max(self._lines, key=self._team_load)
-        if self._team_load(ticket.team) >= self._team_load(team):
-            team = ticket.team
-        callers = self._lines.get(team, {})
+        team = max(self._queues, key=self._team_load)
+        if self._team_load(call.team) >= self._team_load(team):
+            team = call.team
+        callers = self._queues.get(team, {})
         if not callers:
-            return ticket
-        caller = max(callers, key=lambda one: self._caller_load(team, one))
+            return call
+        caller = max(callers, key=lambda candidate: self._caller_load(team, candidate))
         load = self._caller_load(team, caller)
-        if team == ticket.team and self._caller_load(team, ticket.caller) >= load:
-            return ticket
+        if team == call.team and self._caller_load(team, call.caller) >= load:
+            return call
         return callers[caller][-1]
 
     def _team_load(self, team):
-        lines = self._lines.get(team, {})
-        return sum(map(len, lines.values())) + self._teams.held(team)
+        queues = self._queues.get(team, {})
+        return sum(map(len, queues.values())) + self._team_usage.held(team)
 
     def _caller_load(self, team, caller):
-        return len(self._lines.get(team, {}).get(caller, ())) + self._callers.held(caller)
+        return len(self._queues.get(team, {}).get(caller, ())) + self._caller_usage.held(caller)
 
 
 class FifoQueue:
-    """The baseline: first come, first served, and the newcomer goes when it is full."""
+    """The baseline: first come, first served; a full queue refuses the arriving call."""
 
     def __init__(self, callers, teams):
-        self._tickets = OrderedDict()
+        self._calls = OrderedDict()
 
     def __len__(self):
-        return len(self._tickets)
+        return len(self._calls)
 
     def __iter__(self):
-        return iter(list(self._tickets))
+        return iter(list(self._calls))
 
-    def waiting(self, ticket):
-        """Count who waits, as in :class:`FairQueue`; all stand in one line."""
-        return len(self._tickets), 1
+    def count_waiting(self, call):
+        """Count the queued calls, as if all came from one caller."""
+        return len(self._calls), 1
 
-    def push(self, ticket):
-        """Put a call at the end."""
-        self._tickets[ticket] = None
+    def push(self, call):
+        """Queue a call at the end."""
+        self._calls[call] = None
 
     def pop(self, now):
-        """Take the first call out of line."""
-        return self._tickets.popitem(last=False)[0]
+        """Remove and return the first call."""
+        return self._calls.popitem(last=False)[0]
 
-    def remove(self, ticket):
-        """Take a call out of line, wherever it stands."""
-        del self._tickets[ticket]
+    def remove(self, call):
+        """Remove a queued call."""
+        del self._calls[call]
 
-    def victim(self, ticket):
+    def choose_evicted(self, call):
         """Choose the arriving call."""
-        return ticket
+        return call
--- a/packages/core/src/camphorshelf_core/sojourn.py
+++ b/packages/core/src/camphorshelf_core/sojourn.py
@@ -1,69 +1,69 @@
-"""Decides how long a lookup may wait for a slot.
+"""Limits how long a lookup may wait for a slot.
 
-Answers saturation. A queue that never empties adds its whole length to every answer and takes
-no more load than a short one: it only makes all callers late. A queue that empties between
-bursts is doing its work and may fill.
+Handles saturation. A queue that never empties adds its whole length to every response time and
+admits no more load than a short one: it only delays all callers. A queue that empties between
+bursts does its job and may fill up.
 """
 
-# A full queue of four calls a slot, and the calls before it, are served in five service times.
-# When no slot was free for longer than that, the load is no burst but more than fits.
+# A full queue of four calls per slot, with the calls in front of it, is served in five service
+# times. If no slot was free for longer than that, the load is not a burst but exceeds the capacity.
 _BURST_SERVICE_TIMES = 5
-_LEAST_BURST_SECONDS = 0.02
-# Above 100 ms a clerk notices the wait; a call of a slow service may still wait for two others.
-_MOST_BURST_SECONDS = 0.1
-# Two service times, but no less than 5 ms: enough to bridge the gap between two slots that
-# fall free, and not worth being refused for.
+_MIN_BURST_SECONDS = 0.02
+# A shop clerk notices a wait above 100 ms. A call of a slow service may still wait for two others.
+_MAX_BURST_SECONDS = 0.1
+# Two service times, but at least 5 ms: enough to bridge the gap until the next slot is free, and
+# too short a wait to refuse a call for.
 _STANDING_SERVICE_TIMES = 2
-_LEAST_STANDING_SECONDS = 0.005
+_MIN_STANDING_SECONDS = 0.005
 
 
-class Sojourn:
-    """Patient in a burst, short-tempered in a standing queue (the CoDel idea)."""
+class SojournLimit:
+    """Allows long waits in a burst and short ones in a standing queue (as CoDel does)."""
 
     def __init__(self):
-        self._free_at = 0.0
+        self._last_free_at = 0.0
 
-    def note_free(self, now):
-        """Note that a slot was free at this moment.
+    def record_free_slot(self, now):
+        """Record that a slot is free now.
 
         :param now: seconds on the monotonic clock.
         :return: None.
         """
-        self._free_at = now
+        self._last_free_at = now
 
-    def longest(self, service_seconds):
-        """Say how long a lookup may wait in a burst.
+    def max_wait_s(self, service_seconds):
+        """Return how long a lookup may wait in a burst.
 
-        :param service_seconds: the time a call takes.
+        :param service_seconds: the mean service time.
         :return: seconds.
         """
         standing = _STANDING_SERVICE_TIMES * service_seconds
-        most = max(_MOST_BURST_SECONDS, standing)
-        return max(_LEAST_BURST_SECONDS, min(_BURST_SERVICE_TIMES * service_seconds, most))
+        upper_bound = max(_MAX_BURST_SECONDS, standing)
+        return max(_MIN_BURST_SECONDS, min(_BURST_SERVICE_TIMES * service_seconds, upper_bound))
 
-    def patience(self, service_seconds, now):
-        """Say how long a lookup may have waited by now.
+    def current_max_wait_s(self, service_seconds, now):
+        """Return how long a lookup that starts now may have waited.
 
-        :param service_seconds: the time a call takes.
+        :param service_seconds: the mean service time.
         :param now: seconds on the monotonic clock.
         :return: seconds.
         """
-        longest = self.longest(service_seconds)
-        if now - self._free_at <= longest:
-            return longest
-        return max(_LEAST_STANDING_SECONDS, _STANDING_SERVICE_TIMES * service_seconds)
+        max_wait_s = self.max_wait_s(service_seconds)
+        if now - self._last_free_at <= max_wait_s:
+            return max_wait_s
+        return max(_MIN_STANDING_SECONDS, _STANDING_SERVICE_TIMES * service_seconds)
 
 
-class Endless:
+class NoSojournLimit:
     """The baseline: a call waits for as long as its deadline allows."""
 
-    def note_free(self, now):
-        """Do nothing."""
+    def record_free_slot(self, now):
+        """Ignore that a slot is free."""
 
-    def longest(self, service_seconds):
-        """Give no bound."""
+    def max_wait_s(self, service_seconds):
+        """Return infinity."""
         return float("inf")
 
-    def patience(self, service_seconds, now):
-        """Give no bound."""
+    def current_max_wait_s(self, service_seconds, now):
+        """Return infinity."""
         return float("inf")
--- a/packages/node/src/camphorshelf_node/gatekeeper.py
+++ b/packages/node/src/camphorshelf_node/gatekeeper.py
@@ -3,7 +3,7 @@
 from camphorshelf_core.admission import POLICIES, Gate
 from camphorshelf_core.drain import Source
 from camphorshelf_core.errors import Code, Refusal
-from camphorshelf_core.isolation import Lane
+from camphorshelf_core.isolation import SuspectLimiter
 from camphorshelf_core.load import LoadReport
 from camphorshelf_core.quarantine import Standing
 from camphorshelf_core.settings import split_address
@@ -29,7 +29,7 @@
         self._quarantine = quarantine
         parts = POLICIES[settings.gate.policy]
         self._gate = Gate(0, random, parts, settings.gate.team_weights)
-        self._lane = Lane()
+        self._lane = SuspectLimiter()
         self._crashes = CrashWatch(loop, quarantine)
         self._drainer = Drainer(loop, settings.drain, self)
         self._client = None
@@ -161,7 +161,7 @@
         """
         now = self._loop.now()
         if served:
-            milliseconds = (now - work.ticket.started) * 1000
+            milliseconds = (now - work.ticket.started_at) * 1000
             self._latency_ms += _SMOOTHING * (milliseconds - self._latency_ms)
         self._gate.finish(work.ticket, now, served)
         self._leave_lane(work)
@@ -172,7 +172,7 @@
         :param work: the :class:`Work`.
         :return: None.
         """
-        if work.ticket.offered is not None:
+        if work.ticket.offered_at is not None:
             self._gate.cancel(work.ticket, self._loop.now())
         self._leave_lane(work)
 
@@ -193,7 +193,7 @@
 
         :return: None.
         """
-        self._gate.shed(self._loop.now())
+        self._gate.record_shed(self._loop.now())
 
     def note_clean(self, work):
         """Take note that a call ran to its answer.
@@ -225,7 +225,7 @@
 
     def _isolate(self, work, name):
         work.suspect = name
-        let_in = self._lane.enter(work)
+        let_in = self._lane.acquire(work)
         self._log.decision("suspect", call=work.name, fingerprint=name, let_in=let_in)
         if let_in:
             self.offer(work)
@@ -238,7 +238,7 @@
         if work.suspect is None or work.left_lane:
             return
         work.left_lane = True
-        following = self._lane.leave(work)
+        following = self._lane.release(work)
         if following is not None:
             following.end_lane_wait()
             self._loop.call_later(0, lambda: self._offer_suspect(following))
--- a/packages/node/src/camphorshelf_node/quarantine.py
+++ b/packages/node/src/camphorshelf_node/quarantine.py
@@ -24,7 +24,7 @@
         self._log = log
         self._state = Quarantine(settings.quarantine, settings.name)
         gossip.subscribe(_TOPIC, self._on_news)
-        loop.call_every(_FORGET_SECONDS, lambda: self._state.forget_old(time.time()))
+        loop.call_every(_FORGET_SECONDS, lambda: self._state.remove_expired(time.time()))
 
     @property
     def state(self):
@@ -101,7 +101,7 @@
         """
         names = {id(call): _name(call) for call in calls}
         now = time.time()
-        blamed = self._state.note_crash(names.values(), now)
+        blamed = self._state.record_crash(names.values(), now)
         for name in blamed:
             crashes = self._state.evidence(name)[0][self._name]
             self._publish(f"{name}:{self._name}", now, tuple(crashes))
@@ -117,7 +117,7 @@
         :return: None.
         """
         now = time.time()
-        if self._state.note_clean(name, started, now):
+        if self._state.record_completed(name, started, now):
             self._publish(f"{name}:{_CLEARED}", now, now)
             self._log.info(f"request {name} ran to its answer and is cleared")
 
@@ -153,7 +153,7 @@
 
     def _learn_one(self, name, node, now):
         if node not in self._state.evidence(name)[0]:
-            self._state.learn_crashes(name, node, Crashes(1, now), now)
+            self._state.merge_crashes(name, node, Crashes(1, now), now)
 
     def _publish(self, key, at, value):
         self._gossip.publish(_TOPIC, key, int(at * 1000), value)
@@ -162,11 +162,11 @@
         name, _, source = key.partition(":")
         try:
             if source == _CLEARED:
-                self._state.learn_cleared(name, float(value))
+                self._state.merge_cleared(name, float(value))
             else:
                 count, at = value
                 crashes = Crashes(int(count), float(at))
-                self._state.learn_crashes(name, source, crashes, time.time())
+                self._state.merge_crashes(name, source, crashes, time.time())
         except (TypeError, ValueError):
             self._log.info(f"news that is none, on quarantine: {key}")
 
--- a/packages/node/src/camphorshelf_node/work.py
+++ b/packages/node/src/camphorshelf_node/work.py
@@ -2,7 +2,7 @@
 
 import time
 
-from camphorshelf_core.admission import Ticket, class_of
+from camphorshelf_core.admission import PendingCall, classify_call
 from camphorshelf_core.calls import Request, header
 from camphorshelf_core.errors import Code, Ran, Refusal
 from camphorshelf_core.service_times import kind_of
@@ -33,11 +33,11 @@
         self.started_at = None
         self.done = False
         caller = call.caller
-        self.ticket = Ticket(
+        self.ticket = PendingCall(
             loop.now() + call.deadline_ms / 1000,
             self._start,
             self.refuse,
-            class_of(call.method),
+            classify_call(call.method),
             caller,
             settings.teams.get(caller, caller),
             kind_of(call.method, call.path),
@@ -52,7 +52,7 @@
     @property
     def waits(self):
         """Whether the call is in line for a slot."""
-        return not self.done and self.ticket.started is None
+        return not self.done and self.ticket.started_at is None
 
     def refuse(self, refusal):
         """Give the final answer of a call that does not run.
--- a/packages/relay/src/camphorshelf_relay/crashes.py
+++ b/packages/relay/src/camphorshelf_relay/crashes.py
@@ -84,7 +84,7 @@
         :param started: when it began.
         :return: None.
         """
-        self._quarantine.note_clean(name, started, self._loop.now())
+        self._quarantine.record_completed(name, started, self._loop.now())
 
     def note_crash(self):
         """Take in that the target's process has ended unasked.
@@ -94,7 +94,7 @@
         now = self._loop.now()
         lost, self._lost = self._lost, []
         names = [name for name, at in lost if now - at < _NOTICED_SECONDS]
-        for name in self._quarantine.note_crash(names, now):
+        for name in self._quarantine.record_crash(names, now):
             self._own.pop(name, None)
             self._own[name] = now
             self._log.notable("crash_blamed", fingerprint=name, refused=self.is_refused(name))
@@ -110,4 +110,4 @@
         for name, count in crashes:
             known = self._quarantine.evidence(name)[0].get(host)
             if known is None or known.count < count:
-                self._quarantine.learn_crashes(name, host, Crashes(count, now), now)
+                self._quarantine.merge_crashes(name, host, Crashes(count, now), now)
--- a/tests/features/admission.feature
+++ b/tests/features/admission.feature
@@ -70,7 +70,7 @@
     Given twice the load that fits with a deadline of 12 ms
     When it is played with our policy
     Then the target is never idle and every answer is in time
-    When it is played with the foresight swapped for the baseline
+    When it is played with the deadline_check swapped for the baseline
     Then at least 15 in 100 answers are late
 
   Scenario: One slow minute does not shut the gate for ever
--- a/tests/features/steps/admission_steps.py
+++ b/tests/features/steps/admission_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from camphorshelf_core.admission import POLICIES, Class, Gate, Ticket
+from camphorshelf_core.admission import POLICIES, CallClass, Gate, PendingCall
 from camphorshelf_core.errors import Code
 from standins.gate_histories import run_histories
 from standins.gate_play import Call, GatePlay, percentile, poisson, served
@@ -70,7 +70,7 @@
         1.0,
         2,
         caller=lambda source: f"r{source.randrange(50)}",
-        call_class=Class.REORDER,
+        call_class=CallClass.REORDER,
         deadline=5.0,
         kind="reorders",
     )
@@ -160,9 +160,9 @@
 
 @when("the target sheds load in two windows")
 def shed_twice(context):
-    context.gate.shed(1.0)
-    context.gate.shed(1.05)
-    context.gate.shed(1.2)
+    context.gate.record_shed(1.0)
+    context.gate.record_shed(1.05)
+    context.gate.record_shed(1.2)
 
 
 @when("{count:d} random histories of a gate are played")
@@ -172,7 +172,7 @@
 
 @when("a call gives its slot back twice")
 def finish_twice(context):
-    ticket = Ticket(1.0, lambda: None, lambda refusal: None)
+    ticket = PendingCall(1.0, lambda: None, lambda refusal: None)
     context.gate.offer(ticket, 0.0)
     context.gate.finish(ticket, 0.1)
     context.gate.finish(ticket, 0.2)
@@ -324,7 +324,7 @@
 def check_limit_back(context, windows, count):
     now = 2.0
     for _ in range(windows * 12):
-        ticket = Ticket(now + 9, lambda: None, lambda refusal: None)
+        ticket = PendingCall(now + 9, lambda: None, lambda refusal: None)
         context.gate.offer(ticket, now)
         now += 0.01
         context.gate.finish(ticket, now)
@@ -341,5 +341,5 @@
 @then("the next call is refused with code {name}")
 def check_broken(context, name):
     refusals = []
-    context.gate.offer(Ticket(9.0, refusals.clear, refusals.append), 0.3)
+    context.gate.offer(PendingCall(9.0, refusals.clear, refusals.append), 0.3)
     assert [refusal.code for refusal in refusals] == [Code[name]], refusals
--- a/tests/features/steps/quarantine_steps.py
+++ b/tests/features/steps/quarantine_steps.py
@@ -6,7 +6,7 @@
 from behave import fixture, given, then, use_fixture, when
 
 from camphorshelf_core.errors import Code, Ran, Refusal
-from camphorshelf_core.isolation import Lane
+from camphorshelf_core.isolation import SuspectLimiter
 from camphorshelf_core.quarantine import Standing
 from camphorshelf_node.quarantine import SUSPECT_HEADER
 from standins.caller import call
@@ -38,7 +38,7 @@
 
 @given("a lane for suspects")
 def lane(context):
-    context.lane = Lane()
+    context.lane = SuspectLimiter()
 
 
 @when("the target of {node} dies under poison and {count:d} innocent requests")
@@ -88,13 +88,13 @@
 
 @when("suspects s1, s2 and s3 come")
 def suspects_come(context):
-    context.running = [name for name in ("s1", "s2", "s3") if context.lane.enter(name)]
+    context.running = [name for name in ("s1", "s2", "s3") if context.lane.acquire(name)]
 
 
 @when("s2 is given up and s1 ends")
 def suspects_end(context):
-    context.lane.leave("s2")
-    context.running = [context.lane.leave("s1")]
+    context.lane.release("s2")
+    context.running = [context.lane.release("s1")]
 
 
 @then("{name} runs alone")
--- a/tests/standins/gate_histories.py
+++ b/tests/standins/gate_histories.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from camphorshelf_core.admission import POLICIES, Class, Gate, Ticket
+from camphorshelf_core.admission import POLICIES, CallClass, Gate, PendingCall
 from camphorshelf_core.errors import Code, Refusal
 
 _STEPS = 60
@@ -31,7 +31,7 @@
     @rule(
         caller=st.sampled_from("abcd"),
         team=st.sampled_from(["", "t"]),
-        call_class=st.sampled_from([Class.LOOKUP, Class.REORDER]),
+        call_class=st.sampled_from([CallClass.LOOKUP, CallClass.REORDER]),
         kind=st.sampled_from(["short", "long"]),
         left=st.floats(-0.01, 2.0),
     )
@@ -46,7 +46,7 @@
         def refuse(_refusal):
             self._tell(ticket, "refused")
 
-        ticket = Ticket(self.now + left, start, refuse, call_class, caller, team, kind)
+        ticket = PendingCall(self.now + left, start, refuse, call_class, caller, team, kind)
         self.waiting.append(ticket)
         self.gate.offer(ticket, self.now)
 
@@ -82,7 +82,7 @@
 
     @rule()
     def shed(self):
-        self.gate.shed(self.now)
+        self.gate.record_shed(self.now)
 
     @rule(leaving=st.booleans())
     def leave(self, leaving):
--- a/tests/standins/gate_play.py
+++ b/tests/standins/gate_play.py
@@ -5,7 +5,7 @@
 import random
 from typing import NamedTuple
 
-from camphorshelf_core.admission import Class, Gate, Ticket
+from camphorshelf_core.admission import CallClass, Gate, PendingCall
 from camphorshelf_core.errors import Code
 
 
@@ -17,7 +17,7 @@
     work: float = 0.005
     deadline: float = 1.0
     team: str = ""
-    call_class: Class = Class.LOOKUP
+    call_class: CallClass = CallClass.LOOKUP
     kind: str = "tags"
 
 
@@ -86,7 +86,7 @@
             outcome = Outcome(call, refusal.code, self.now, refusal.retry_after_ms)
             self.outcomes.append(outcome)
 
-        ticket = Ticket(
+        ticket = PendingCall(
             call.at + call.deadline,
             start,
             refuse,
--- a/tests/standins/poison_play.py
+++ b/tests/standins/poison_play.py
@@ -24,16 +24,16 @@
     def crash(self, node, requests):
         """Let the target of a node die under requests and spread the news."""
         self.now += _STEP_SECONDS
-        blamed = self.all[node].note_crash(requests, self.now)
+        blamed = self.all[node].record_crash(requests, self.now)
         for request in blamed:
             crashes = self.all[node].evidence(request)[0][node]
             for other in self.all.values():
-                other.learn_crashes(request, node, crashes, self.now)
+                other.merge_crashes(request, node, crashes, self.now)
 
     def clean(self, node, request):
         """Let a request run to its answer at a node and spread the news."""
         self.now += _STEP_SECONDS
-        if self.all[node].note_clean(request, self.now, self.now):
+        if self.all[node].record_completed(request, self.now, self.now):
             self._clear(request)
 
     def lift(self, node, request):
@@ -48,7 +48,7 @@
 
     def _clear(self, request):
         for other in self.all.values():
-            other.learn_cleared(request, self.now)
+            other.merge_cleared(request, self.now)
 
 
 def play_poison(seed, chance_death=0.0):
@@ -95,12 +95,12 @@
     for _ in range(source.randrange(1, 12)):
         at = float(source.randrange(1, 30))
         if source.random() < 0.3:
-            news.append(lambda one, at=at: one.learn_cleared(POISON, at))
+            news.append(lambda one, at=at: one.merge_cleared(POISON, at))
         else:
             crashes = Crashes(source.randrange(1, 3), at)
             node = f"n{source.randrange(3)}"
             news.append(
-                lambda one, node=node, crashes=crashes: one.learn_crashes(
+                lambda one, node=node, crashes=crashes: one.merge_crashes(
                     POISON, node, crashes, 30.0
                 )
             )
