--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -14,7 +14,7 @@
     def switch():
         slotlimit._STARTING_SHARE = share
         slotlimit.SlotLimit.consider_trial = lambda self, now: False
-        slotlimit.SlotLimit.note = lambda self, at_once, ratio, now: None
+        slotlimit.SlotLimit.record = lambda self, at_once, ratio, now: None
 
     return switch
 
--- a/packages/core/src/camphorshelf_core/admissionqueue.py
+++ b/packages/core/src/camphorshelf_core/admissionqueue.py
@@ -1,13 +1,13 @@
 """The admission queue of a target: admission control, priority order and load shedding.
 
-Load patterns: a burst, saturation, long work among short, and a host that slows down under work
-that already waits. A target that takes all it is offered finishes most of it too late to be of
-use: every request waits for all before it. Here a request waits only where it will probably
-start early enough to be answered within its latency objective. Every other one is rejected at once,
-while its caller can still go to another target or retry.
-
-The target's own queue stays empty: a request that waits there can be neither reordered nor
-shed, and the last slots of most servers finish work slower than they add to it.
+Handles bursts, saturation, long requests among short ones, and a host that slows down under queued
+requests. A target that accepts everything finishes most of it too late to be of use, because each
+request waits for all earlier ones. So a request is only queued here if it will probably start early
+enough to be answered within its latency objective. Every other request is rejected at once, while
+its caller can still go to another target or retry.
+
+The target's own queue stays empty, because a request that waits there can be neither reordered nor
+shed. Besides, the last slots of most servers slow down all requests by more than they add.
 """
 
 import heapq
@@ -19,23 +19,23 @@
 from .slotlimit import SlotLimit
 from .warmup import WarmUp
 
-# The expected delay of work with a late objective grows with each more urgent request that comes
-# after it and goes ahead. In a long queue all of it starts too late; where few wait, few overtake.
+# More urgent requests that arrive later overtake queued ones with a late objective. In a long queue
+# so many do that all of these start too late; in a short queue few do.
 _QUEUE_PER_SLOT = 2.0
-# Late work may wait only in a short queue, or it takes the slots of what is still in time; with
-# none at all, calls that running work waits for would fail it. Counted in work and not in jobs, so
-# that short calls take little of it.
+# Late jobs only get a short queue, or they would take the slots of jobs that are still in time.
+# Without any, a running request would fail when the calls it waits for are rejected. The limit
+# counts work and not jobs, so that short calls use little of it.
 _LATE_PER_SLOT = 0.5
-# Work with less time left than this share of its mean would seldom end before its deadline.
-_LEAST_RUN = 0.7
+# With less time left than this share of its mean run time, a job would seldom meet its deadline.
+_MIN_TIME_LEFT_SHARE = 0.7
 _WORK_SMOOTHING = 0.05
 
 
 class AdmissionResult(NamedTuple):
-    """What became of an offered job.
+    """The decision about an offered job.
 
-    :param admitted: whether it runs or is queued.
-    :param wait_s: when it was rejected, the queueing delay that it would have had.
+    :param admitted: whether the job runs or is queued.
+    :param wait_s: the queueing delay in seconds that a rejected job would have had.
     """
 
     admitted: bool
@@ -43,9 +43,9 @@
 
 
 class AdmissionQueue:
-    """Admission at one target: exact counts of what runs, and the queue before it.
+    """Admission control of one target: exact counts of running jobs, and a priority queue.
 
-    :param slots: how many requests the target says it works on at once.
+    :param slots: how many requests the target says it can process at once.
     :param warm_up: the target's :class:`~camphorshelf_core.warmup.WarmUp`.
     """
 
@@ -63,13 +63,13 @@
 
     @property
     def slots(self):
-        """How many requests the target says it works on at once."""
+        """How many requests the target says it can process at once."""
         return self._limit.slots
 
     @property
     def limit(self):
-        """How many may run at once, apart from trials of one more."""
-        return self._limit.settled
+        """How many jobs may run at once, without trials of one slot more or less."""
+        return self._limit.stable_value
 
     @property
     def queued(self):
@@ -77,9 +77,9 @@
         return self._queued.total()
 
     def resize(self, slots):
-        """Take another number of slots.
+        """Set the number of slots.
 
-        :param slots: how many requests the target says it works on at once.
+        :param slots: how many requests the target says it can process at once.
         :return: None.
         """
         self._limit.resize(slots)
@@ -89,19 +89,19 @@
 
         :param job: the :class:`~camphorshelf_core.jobs.Job`.
         :param now: seconds on the monotonic clock.
-        :return: a :class:`AdmissionResult`.
+        :return: an :class:`AdmissionResult`.
         """
         if self.closed or not self.limit:
             return AdmissionResult(False, 0.0)
-        if now + self._run_s(job) * _LEAST_RUN > job.expires_at:
-            # It would take a slot and be cancelled at its deadline.
+        if now + self._run_s(job) * _MIN_TIME_LEFT_SHARE > job.expires_at:
+            # The job would take a slot and be cancelled at its deadline.
             return AdmissionResult(False, self.expected_wait(job, now))
         if not self.queued and self._can_start(now):
             self._start(job, now)
             return AdmissionResult(True)
-        wait = self.expected_wait(job, now)
-        if not self._can_queue(job, now + wait, now):
-            return AdmissionResult(False, wait)
+        wait_s = self.expected_wait(job, now)
+        if not self._find_queue_place(job, now + wait_s, now):
+            return AdmissionResult(False, wait_s)
         self._enqueue(job)
         if self._limit.consider_trial(now):
             self.dispatch(now)
@@ -123,17 +123,18 @@
         return self._delay_behind(sum(ahead), len(ahead), job, now)
 
     def next_dispatch_s(self, now):
-        """Tell when the next queued job may start, where only a cold target holds it back.
+        """Return when the next queued job may start, if only the target's warm-up delays it.
 
         :param now: seconds on the monotonic clock.
-        :return: seconds from now; None when nothing is queued or no slot is free.
+        :return: seconds from now; None when no job is queued, the queue is closed or no slot is
+            free.
         """
         if not self.queued or self.closed or self.running >= self._limit.value:
             return None
         return self.warm_up.wait_s(now)
 
     def finish(self, job, now):
-        """Take note that a job left the target, and start what is queued.
+        """Record that a job has ended, and start queued jobs.
 
         :param job: the :class:`~camphorshelf_core.jobs.Job`.
         :param now: seconds on the monotonic clock.
@@ -156,30 +157,30 @@
         job.state = JobState.DONE
         return True
 
-    def note_work(self, seconds):
-        """Take in how long a request ran.
+    def record_work(self, seconds):
+        """Record how long a request ran.
 
-        :param seconds: its time, as if the slowness had been 1.0.
+        :param seconds: its run time, converted to a slowness of 1.0.
         :return: None.
         """
         weight = _WORK_SMOOTHING if self.work_s else 1.0
         self.work_s += weight * (seconds - self.work_s)
 
-    def note_run(self, job, seconds, now):
-        """Take in how long a job ran at the target, before it is finished.
+    def record_run(self, job, seconds, now):
+        """Record how long a job ran at the target; called before :meth:`finish`.
 
         :param job: the :class:`~camphorshelf_core.jobs.Job`.
-        :param seconds: its time, as if the slowness had been 1.0.
+        :param seconds: its run time, converted to a slowness of 1.0.
         :param now: seconds on the monotonic clock.
         :return: None.
         """
-        self.note_work(seconds)
-        at_once = round((job.concurrency_at_start + self.running) / 2)
+        self.record_work(seconds)
+        concurrency = round((job.concurrency_at_start + self.running) / 2)
         if job.work_s > 0:
-            self._limit.note(at_once, seconds / job.work_s, now)
+            self._limit.record(concurrency, seconds / job.work_s, now)
 
     def dispatch(self, now):
-        """Start queued jobs while there are slots, and shed those that are too late.
+        """Start queued jobs while slots are free, and shed those that are overdue.
 
         :param now: seconds on the monotonic clock.
         :return: None.
@@ -195,9 +196,9 @@
                 self._start(job, now)
 
     def shed_late(self, now):
-        """Shed queued jobs that will not start in time any more.
+        """Shed queued jobs that will no longer start in time.
 
-        Called when the target slowed down or turned cold: the queue takes longer by as much, and
+        Called when the target has slowed down or turned cold: the queue drains more slowly, and
         its requests still have time to go elsewhere.
 
         :param now: seconds on the monotonic clock.
@@ -206,16 +207,16 @@
         ahead, count = 0.0, 0
         queued = [entry for entry in self._queue if entry[2].state is JobState.QUEUED]
         for _, _, job in sorted(queued):
-            wait = self._delay_behind(ahead, count, job, now)
-            if job.queue_class is not QueueClass.LATE and self._is_late(job, now + wait):
+            wait_s = self._delay_behind(ahead, count, job, now)
+            if job.queue_class is not QueueClass.LATE and self._is_late(job, now + wait_s):
                 self._dequeue(job)
-                self._shed(job, wait)
+                self._shed(job, wait_s)
             else:
                 ahead += job.work_s
                 count += 1
 
     def close(self, now):
-        """Admit nothing any more and shed all that is queued.
+        """Admit no more jobs and shed all queued ones.
 
         :param now: seconds on the monotonic clock.
         :return: None.
@@ -228,7 +229,7 @@
                 self._shed(job, self.expected_wait(job, now))
 
     def open(self, now):
-        """Admit jobs again.
+        """Admit jobs again and start queued ones.
 
         :param now: seconds on the monotonic clock.
         :return: None.
@@ -240,17 +241,17 @@
         return self.running < self._limit.value and self.warm_up.wait_s(now) <= 0
 
     def _delay_behind(self, work_ahead_s, count_ahead, job, now):
-        # A cold target has free slots, and starts what waits at a bounded rate.
+        # A cold target has free slots, and queued jobs start at a limited rate.
         warm_up_s = self.warm_up.wait_s(now, count_ahead)
         if self.running < self._limit.value and warm_up_s > 0:
             return warm_up_s
-        # The first slot is free after a slot's part of the mean work, each further one after its
-        # part of the work that stands before.
-        first = self.work_s or job.work_s
-        slot_s = (work_ahead_s + first) / max(1, self.limit) * self.slowness
+        # A slot is free after the mean work divided by the number of slots; each job ahead delays
+        # this one by its work divided by the number of slots.
+        first_work_s = self.work_s or job.work_s
+        slot_s = (work_ahead_s + first_work_s) / max(1, self.limit) * self.slowness
         return max(slot_s, warm_up_s)
 
-    def _can_queue(self, job, start_at, now):
+    def _find_queue_place(self, job, start_at, now):
         if not self._is_late(job, start_at):
             is_full = self._queued[QueueClass.IN_TIME] >= self.limit * _QUEUE_PER_SLOT
             return not is_full or self._displace_for(job, now)
@@ -258,7 +259,7 @@
         return self._is_late_queue_open(job) and not self._is_late(job, start_at)
 
     def _displace_for(self, job, now):
-        # Less urgent work that came first must not close the queue to more urgent work.
+        # Less urgent jobs that came earlier must not block the queue for a more urgent one.
         less_urgent = [
             entry
             for entry in self._queue
@@ -267,14 +268,15 @@
         if not less_urgent:
             return False
         last = max(less_urgent)[2]
-        wait = self.expected_wait(last, now)
+        wait_s = self.expected_wait(last, now)
         self._dequeue(last)
-        self._shed(last, wait)
+        self._shed(last, wait_s)
         return True
 
     def _is_late_queue_open(self, job):
         capacity_s = self.limit * _LATE_PER_SLOT * (self.work_s or job.work_s)
-        # What has waited elsewhere already is queued where a new request is not.
+        # The capacity grows with the late policy: a job that was held elsewhere (QUEUE_HELD) is
+        # still queued where a new one is rejected.
         return self._late_work_s < capacity_s * job.late_policy
 
     def _run_s(self, job):
@@ -290,7 +292,7 @@
     def _start(self, job, now):
         job.state = JobState.RUNNING
         self.running += 1
-        self.warm_up.note_start(now)
+        self.warm_up.record_start(now)
         job.concurrency_at_start = self.running
         job.start()
 
@@ -308,9 +310,9 @@
             self._late_work_s = max(0.0, left) if self._queued[QueueClass.LATE] else 0.0
         job.state = JobState.DEQUEUED
 
-    def _shed(self, job, wait):
+    def _shed(self, job, wait_s):
         job.state = JobState.DONE
-        job.reject(wait)
+        job.reject(wait_s)
 
 
 def _is_queued_in_time(job):
@@ -318,6 +320,6 @@
 
 
 def _key(job):
-    # What is late already goes behind everything that is not; then the more important; then
-    # what is due first.
+    # Late jobs come after all others; then the more important job is first, then the one with
+    # the earlier objective.
     return job.queue_class is QueueClass.LATE, job.priority, job.objective_at
--- a/packages/core/src/camphorshelf_core/jobs.py
+++ b/packages/core/src/camphorshelf_core/jobs.py
@@ -1,30 +1,31 @@
-"""What is offered to an admission queue, and on which terms."""
+"""The jobs that are offered to an admission queue."""
 
 from enum import Enum, IntEnum
 
 
 class QueueClass(Enum):
-    """The terms on which a job is queued."""
+    """Whether a queued job will start in time for its latency objective."""
 
     IN_TIME = "in time"
     LATE = "late"
 
 
 class LatePolicy(IntEnum):
-    """What becomes of a job that will miss its latency objective.
+    """What to do with a job that will miss its latency objective.
 
-    The number goes over links, and late work is granted so many times the usual room and offers.
+    The number is sent to other nodes. It also multiplies the capacity of the late queue and the
+    number of offers for such a job.
     """
 
     REJECT = 0
-    # An answer after the objective is still wanted: queued as late while there is room.
+    # An answer after the objective is still useful: the job is queued as late if there is capacity.
     QUEUE = 1
-    # It was held so long that a rejection would come too late.
+    # The job was held elsewhere for so long that a rejection now would come too late.
     QUEUE_HELD = 2
 
 
 class JobState(Enum):
-    """Where a job is between its offer and its end."""
+    """The state of a job from its offer to its end."""
 
     NEW = "new"
     QUEUED = "queued"
@@ -34,15 +35,15 @@
 
 
 class Job:
-    """One request that is offered to the target.
+    """One request that is offered to an admission queue.
 
-    :param priority: 0 goes first.
-    :param objective_at: when its latency objective ends, seconds on the monotonic clock.
-    :param expires_at: when nobody waits for it any more.
-    :param work_s: how long such work runs where the slowness is 1.0.
+    :param priority: the priority; 0 is the most urgent.
+    :param objective_at: when its latency objective ends, in seconds on the monotonic clock.
+    :param expires_at: its deadline, in seconds on the monotonic clock.
+    :param work_s: how long such a request runs at a slowness of 1.0, in seconds.
     :param late_policy: its :class:`LatePolicy`.
-    :param start: called when its slot is there.
-    :param reject: called with the expected wait when it was queued and is shed.
+    :param start: called when the job gets a slot.
+    :param reject: called with the expected wait in seconds when the queued job is shed.
     """
 
     __slots__ = (
@@ -69,7 +70,7 @@
         self.reject = reject
         self.state = JobState.NEW
         self.queue_class = QueueClass.IN_TIME
-        # Until when its answer is wanted here.
+        # When its answer is due at this node: the objective, or the deadline once it is late.
         self.due_at = objective_at
-        # How many ran when it started, itself included.
+        # How many jobs ran when it started, itself included.
         self.concurrency_at_start = 0
--- a/packages/core/src/camphorshelf_core/retryafter.py
+++ b/packages/core/src/camphorshelf_core/retryafter.py
@@ -1,24 +1,24 @@
-"""After which delay a refused caller should retry (Retry-After), with jitter.
+"""Chooses the delay after which a refused caller should retry (Retry-After), with jitter.
 
-Load pattern: saturation, where many callers are refused within a moment. With the same delay for
-all of them the burst would repeat; a retry past their latency objective is of no use to most. So
-each gets a random delay within what its objective leaves.
+Handles saturation, where many callers are refused within a moment. With the same delay for all of
+them the burst would repeat, and for most callers a retry after their latency objective is useless.
+So each gets a random delay within the time that its objective leaves.
 """
 
-# Earlier than this the load has hardly changed.
+# In less time than this the load hardly changes.
 _MIN_SECONDS = 0.04
-# Without a target there is nothing to wait for but its return; keeps callers from asking in a loop.
+# Without any target a caller can only wait for one to return; keeps callers from polling in a loop.
 _NO_TARGET_SECONDS = 0.25
 _MAX_SECONDS = 1.0
-# A target that sheds at random, not for want of a slot, may take the request a moment later.
+# A target that sheds requests at random, and not for lack of a slot, may accept a retry right away.
 _SHED_SECONDS = 0.01
 
 
 def retry_after_shed(random):
-    """Choose the delay for a caller whose request the target itself shed.
+    """Choose the delay for a caller whose request was shed by the target itself.
 
-    Load pattern: a service whose targets all shed a part of what they get, whatever their load.
-    Retries between nodes are bounded for all services together; what a caller sends again isn't.
+    Handles a service whose targets all shed a part of their requests, whatever their load. Retries
+    between nodes share one budget of all services, but retries by the caller don't use it.
 
     :param random: the source of random numbers.
     :return: seconds.
@@ -27,18 +27,18 @@
 
 
 def retry_after(wait_s, objective_left_s, work_s, random):
-    """Choose the delay for a caller that this node refused.
+    """Choose the delay for a caller whose request was refused by this node.
 
-    :param wait_s: the shortest queueing delay that any target expected; None without a target.
-    :param objective_left_s: what is left of the caller's latency objective, in seconds.
-    :param work_s: how long its work usually runs.
+    :param wait_s: the shortest queueing delay of all targets, in seconds; None without a target.
+    :param objective_left_s: the time left of the caller's latency objective, in seconds.
+    :param work_s: how long such a request usually runs, in seconds.
     :param random: the source of random numbers.
     :return: seconds.
     """
     if wait_s is None:
         return random.uniform(0.5, 1.0) * _NO_TARGET_SECONDS
-    spare = objective_left_s - work_s * 1.5
-    if spare > _MIN_SECONDS:
-        # In time for its objective, when what waits now has mostly gone.
-        return random.uniform(_MIN_SECONDS, max(_MIN_SECONDS, min(spare, wait_s * 1.5)))
+    slack_s = objective_left_s - work_s * 1.5
+    if slack_s > _MIN_SECONDS:
+        # The retry meets its objective, and most of the queued requests have gone by then.
+        return random.uniform(_MIN_SECONDS, max(_MIN_SECONDS, min(slack_s, wait_s * 1.5)))
     return min(_MAX_SECONDS, random.uniform(0.5, 1.5) * max(wait_s, _MIN_SECONDS))
--- a/packages/core/src/camphorshelf_core/slotlimit.py
+++ b/packages/core/src/camphorshelf_core/slotlimit.py
@@ -1,58 +1,63 @@
-"""How many requests may run at once at one target, found from how long they run.
+"""Finds how many requests may run at once at one target from how long requests take.
 
-Load pattern: saturation of a target whose last slots slow all work down. Where the bend is differs
-from service to service: with a limit beyond it a target finishes less than it could, and with one
-far below it slots stay empty while callers are refused. So the limit starts at a share of the slots
-that suits most servers, goes down when the last slot costs more than it gives, and one slot more is
-tried for some requests now and then while others wait for a slot.
+Handles the saturation of a target whose last slots slow down all requests. The saturation point
+differs between services: above it a target finishes fewer requests than it could, and far below it
+slots stay empty while callers are refused. So the limit starts at a share of the slots that suits
+most servers and is lowered when the last slot costs more throughput than it adds. While requests
+wait for a slot, one slot more is tried from time to time.
 """
 
 from collections import defaultdict, deque
 
-# Where the limit starts: most servers work at full speed up to here.
+# The limit starts here, because most servers work at full speed up to this share of their slots.
 _STARTING_SHARE = 0.8
-# The limit never falls below half of the slots: with so few at once, what looks like a bend is
-# mostly work that waits for other services.
-_LEAST_SHARE = 0.5
-# A slot pays when work takes less longer with it than there are more slots. The times of single
-# requests spread, so several are needed to tell, and less than this says nothing.
-_CLEAR_RATIO = 1.35
-_SAMPLES_TO_FAIL = 4
-_SAMPLES_TO_JUDGE = 28
-_SAMPLES_KEPT = 40
-# So many with one slot less show that the last one pays; otherwise it is done without for a moment.
-_SAMPLES_BELOW = 14
-# A slot is given up only for clearly more than it gives: one that is missing costs as much.
-_GIVE_UP_MARGIN = 1.2
-# Work that waits for calls to a busy service takes several times as long, whatever its own target
-# does. A bend slows down all work, so a point below the middle tells the one from the other.
+# The limit never falls below half of the slots: with so few concurrent requests, what looks like
+# saturation is mostly waiting for other services.
+_MIN_SHARE = 0.5
+# An additional slot pays off when requests slow down by less than the number of slots grows. Single
+# durations vary, so several samples are compared, and a smaller ratio than this proves nothing.
+_SIGNIFICANT_RATIO = 1.35
+_MIN_SAMPLES_TO_REJECT = 4
+_MIN_SAMPLES_TO_DECIDE = 28
+_MAX_SAMPLES = 40
+# This many samples with one slot less show whether the last slot pays off. Until there are as many,
+# a trial runs with one slot less.
+_MIN_SAMPLES_ONE_FEWER = 14
+# A slot is only given up when it clearly costs more than it adds, since a missing slot costs as
+# much as a superfluous one.
+_REDUCTION_MARGIN = 1.2
+# Requests that wait for calls to a busy service take several times as long, whatever their own
+# target does. Saturation slows down all requests, so a quantile below the median tells the two
+# apart.
 _QUANTILE = 0.4
-# Compared are times of the same few seconds, for work of another mix takes another time.
-_FRESH_SECONDS = 5.0
-# A trial that failed is repeated after four times as long, for a server's bend seldom moves.
+# Only durations of the same few seconds are compared, because another mix of requests has other
+# durations.
+_MAX_SAMPLE_AGE_SECONDS = 5.0
+# A failed trial is repeated after a pause that is four times as long each time, because the
+# saturation point of a server seldom moves.
 _FIRST_PAUSE_SECONDS = 5.0
 _PAUSE_GROWTH = 4
-_LONGEST_PAUSE_SECONDS = 60.0
-# Where too few requests come for a verdict, the trial is given up.
-_LONGEST_TRIAL_SECONDS = 2.0
+_MAX_PAUSE_SECONDS = 60.0
+# A trial ends after this time if too few requests come to decide it.
+_MAX_TRIAL_SECONDS = 2.0
 
 
-class _Pace:
-    """How long work took lately with a number of requests at once, 1.0 as usual."""
+class _DurationSamples:
+    """Recent durations at one concurrency, as ratios to the usual duration (1.0)."""
 
     __slots__ = ("_samples",)
 
     def __init__(self):
-        self._samples = deque(maxlen=_SAMPLES_KEPT)
+        self._samples = deque(maxlen=_MAX_SAMPLES)
 
-    def note(self, ratio, now):
+    def record(self, ratio, now):
         self._samples.append((now, ratio))
 
-    def forget(self):
+    def clear(self):
         self._samples.clear()
 
     def count(self, now):
-        while self._samples and now - self._samples[0][0] > _FRESH_SECONDS:
+        while self._samples and now - self._samples[0][0] > _MAX_SAMPLE_AGE_SECONDS:
             self._samples.popleft()
         return len(self._samples)
 
@@ -63,118 +68,123 @@
 
 
 class SlotLimit:
-    """The limit of one target; its first value needs no observation.
+    """The concurrency limit of one target; its first value needs no measurement.
 
-    :param settled: the limit outside of trials, which others may count on.
+    The attribute ``stable_value`` is the limit without trials. It is the one to plan with.
+
+    :param slots: how many requests the target says it can process at once.
     """
 
     def __init__(self, slots=0):
-        self._paces = defaultdict(_Pace)
+        self._samples_by_concurrency = defaultdict(_DurationSamples)
         self.resize(slots)
 
     @property
     def value(self):
-        """How many may run at once at this moment."""
-        return self.settled + self._step
+        """How many requests may run at once now, trials included."""
+        return self.stable_value + self._trial_step
 
     def resize(self, slots):
-        """Take another number of slots, and begin anew.
+        """Set the number of slots and discard all measurements.
 
-        :param slots: how many requests the target says it works on at once.
+        :param slots: how many requests the target says it can process at once.
         :return: None.
         """
         self.slots = slots
-        self.settled = max(1, int(slots * _STARTING_SHARE)) if slots else 0
-        self._least = max(1, round(slots * _LEAST_SHARE))
-        self._paces.clear()
-        # What a trial adds to the limit: one slot, one less, or nothing outside of trials.
-        self._step = 0
+        self.stable_value = max(1, int(slots * _STARTING_SHARE)) if slots else 0
+        self._min_value = max(1, round(slots * _MIN_SHARE))
+        self._samples_by_concurrency.clear()
+        # The difference that a trial makes to the limit: 1, -1, or 0 without a trial.
+        self._trial_step = 0
         self._pause_s = _FIRST_PAUSE_SECONDS
         self._trial_at = None
 
     def consider_trial(self, now):
-        """Try one slot more or less, if it is time; to be asked when a request waits for a slot.
+        """Start or end a trial of one slot more or less when it is due.
+
+        Called when a request waits for a slot.
 
         :param now: seconds on the monotonic clock.
-        :return: whether more may run now.
+        :return: whether the limit has risen.
         """
         before = self.value
         if self._trial_at is None:
             self._trial_at = now
-        if self._step and now - self._trial_at > _LONGEST_TRIAL_SECONDS:
+        if self._trial_step and now - self._trial_at > _MAX_TRIAL_SECONDS:
             self._end_trial(now)
         is_due = now - self._trial_at >= self._pause_s
-        if is_due and not self._step and self._is_known(self.settled, now):
+        if is_due and not self._trial_step and self._check_sample_count(self.stable_value, now):
             self._begin_trial(now)
         return self.value > before
 
-    def note(self, at_once, ratio, now):
-        """Take in how long a request ran.
+    def record(self, concurrency, ratio, now):
+        """Record how long a request ran.
 
-        :param at_once: how many ran during it, itself included.
-        :param ratio: its time as a multiple of the usual time of its kind at this speed.
+        :param concurrency: how many requests ran during it, itself included.
+        :param ratio: its duration as a multiple of the usual duration of its kind, adjusted for the
+            host's speed.
         :param now: seconds on the monotonic clock.
         :return: None.
         """
-        self._paces[at_once].note(ratio, now)
-        if self._step > 0:
-            self._judge_one_more(now)
+        self._samples_by_concurrency[concurrency].record(ratio, now)
+        if self._trial_step > 0:
+            self._evaluate_extra_slot(now)
         else:
-            self._judge_last_slot(now)
+            self._evaluate_last_slot(now)
 
     def _begin_trial(self, now):
-        self._step = self._choose_step(now)
-        if self._step:
+        self._trial_step = self._choose_step(now)
+        if self._trial_step:
             self._trial_at = now
-            self._paces[self.value].forget()
+            self._samples_by_concurrency[self.value].clear()
 
     def _choose_step(self, now):
-        # Whether the last slot pays has to be known before one more is worth a trial: beyond the
-        # bend all further slots look alike.
-        below = self._paces[self.settled - 1].count(now)
-        if self.settled > self._least and below < _SAMPLES_BELOW:
+        # Whether the last slot pays off must be known before one more is tried: beyond the
+        # saturation point all further slots look alike.
+        samples_one_fewer = self._samples_by_concurrency[self.stable_value - 1].count(now)
+        if self.stable_value > self._min_value and samples_one_fewer < _MIN_SAMPLES_ONE_FEWER:
             return -1
-        return 1 if self.settled < self.slots else 0
+        return 1 if self.stable_value < self.slots else 0
 
-    def _is_known(self, at_once, now):
-        return self._paces[at_once].count(now) >= _SAMPLES_TO_JUDGE
+    def _check_sample_count(self, concurrency, now):
+        return self._samples_by_concurrency[concurrency].count(now) >= _MIN_SAMPLES_TO_DECIDE
 
-    def _judge_one_more(self, now):
-        trial = self._paces[self.value]
-        if trial.count(now) < _SAMPLES_TO_FAIL:
+    def _evaluate_extra_slot(self, now):
+        trial = self._samples_by_concurrency[self.value]
+        if trial.count(now) < _MIN_SAMPLES_TO_REJECT:
             return
-        usual = self._paces[self.settled]
-        if not usual.count(now) or trial.ratio >= _CLEAR_RATIO * usual.ratio:
+        baseline = self._samples_by_concurrency[self.stable_value]
+        if not baseline.count(now) or trial.ratio >= _SIGNIFICANT_RATIO * baseline.ratio:
             self._end_trial(now)
-        elif self._is_known(self.value, now):
-            if self._find_better(self.value, 1.0, now) is not None:
+        elif self._check_sample_count(self.value, now):
+            if self._find_better_limit(self.value, 1.0, now) is not None:
                 self._end_trial(now)
                 return
-            self.settled += 1
-            self._step = 0
+            self.stable_value += 1
+            self._trial_step = 0
             self._pause_s = _FIRST_PAUSE_SECONDS
 
-    def _judge_last_slot(self, now):
-        if self._step and self._is_known(self.value, now):
-            self._step = 0
-        if not self._is_known(self.settled, now):
+    def _evaluate_last_slot(self, now):
+        if self._trial_step and self._check_sample_count(self.value, now):
+            self._trial_step = 0
+        if not self._check_sample_count(self.stable_value, now):
             return
-        better = self._find_better(self.settled, _GIVE_UP_MARGIN, now)
+        better = self._find_better_limit(self.stable_value, _REDUCTION_MARGIN, now)
         if better is not None:
-            self.settled = better
-            self._step = 0
+            self.stable_value = better
+            self._trial_step = 0
 
     def _end_trial(self, now):
-        self._step = 0
+        self._trial_step = 0
         self._trial_at = now
-        self._pause_s = min(_LONGEST_PAUSE_SECONDS, self._pause_s * _PAUSE_GROWTH)
+        self._pause_s = min(_MAX_PAUSE_SECONDS, self._pause_s * _PAUSE_GROWTH)
 
-    def _find_better(self, at_once, margin, now):
-        ratio = self._paces[at_once].ratio
-        for fewer in range(at_once - 1, self._least - 1, -1):
-            if not self._is_known(fewer, now):
+    def _find_better_limit(self, concurrency, margin, now):
+        ratio = self._samples_by_concurrency[concurrency].ratio
+        for fewer in range(concurrency - 1, self._min_value - 1, -1):
+            if not self._check_sample_count(fewer, now):
                 continue
-            longer = max(_CLEAR_RATIO, margin * at_once / fewer)
-            if ratio >= longer * self._paces[fewer].ratio:
+            min_ratio = max(_SIGNIFICANT_RATIO, margin * concurrency / fewer)
+            if ratio >= min_ratio * self._samples_by_concurrency[fewer].ratio:
                 return fewer
         return None
--- a/packages/relay/src/camphorshelf_relay/run.py
+++ b/packages/relay/src/camphorshelf_relay/run.py
@@ -142,7 +142,7 @@
             return False
         # Connections that open late all at once would bring a cold target a second's requests in
         # one moment: each counts again when it is written.
-        self._gate.admission.warm_up.note_start(now)
+        self._gate.admission.warm_up.record_start(now)
         return True
 
     def _on_result(self, result):
@@ -214,7 +214,7 @@
     def _note_run(self, seconds, now):
         admission = self._gate.admission
         before = admission.limit
-        admission.note_run(self._job, seconds, now)
+        admission.record_run(self._job, seconds, now)
         if admission.limit != before:
             self._gate.log.notable(
                 "limit_moved",
--- a/packages/relay/src/camphorshelf_relay/target.py
+++ b/packages/relay/src/camphorshelf_relay/target.py
@@ -215,7 +215,7 @@
 
         :return: None.
         """
-        self._warm_up.note_replaced(self._loop.now())
+        self._warm_up.record_replaced(self._loop.now())
         self._probe.ask_if_doubted()
 
     def note_unreachable(self):
@@ -223,7 +223,7 @@
 
         :return: None.
         """
-        self._warm_up.note_replaced(self._loop.now())
+        self._warm_up.record_replaced(self._loop.now())
         if not self._record.down:
             if not self._record.leaving:
                 self._on_crash()
@@ -251,8 +251,8 @@
     def _note_announced(self, heartbeat, instance, started_ms):
         now = self._loop.now()
         if (self._record.instance, self._record.started_ms) != (instance, started_ms):
-            self._warm_up.note_replaced(now)
-        self._warm_up.note_announced(heartbeat.warming_s, now)
+            self._warm_up.record_replaced(now)
+        self._warm_up.record_announced(heartbeat.warming_s, now)
         if self._warm_up.is_limited(now):
             self._admission.shed_late(now)
 
@@ -271,11 +271,11 @@
     def _note_told(self, word, instance_before):
         now = self._loop.now()
         if self._record.instance != instance_before:
-            self._warm_up.note_replaced(now)
+            self._warm_up.record_replaced(now)
         if word.instance and word.instance != self._record.instance:
             return
         was_limited = self._warm_up.is_limited(now)
-        self._warm_up.note_told(word.cold_left_s, now)
+        self._warm_up.record_response(word.cold_left_s, now)
         if self._warm_up.is_limited(now):
             if not was_limited:
                 self._admission.shed_late(now)
--- a/tests/features/steps/admission_queue_steps.py
+++ b/tests/features/steps/admission_queue_steps.py
@@ -57,7 +57,7 @@
             self._pass(end)
             self.finished.append((name, end, job))
             if self.is_mixed:
-                self.admission.note_work(job.work_s)
+                self.admission.record_work(job.work_s)
             self.admission.finish(job, end)
         self._pass(until)
 
--- a/tests/features/steps/slot_limit_steps.py
+++ b/tests/features/steps/slot_limit_steps.py
@@ -49,7 +49,7 @@
     context.limit.consider_trial(context.now)
     for _ in range(600):
         context.now += 0.01
-        context.limit.note(at_once, 1.0, context.now)
+        context.limit.record(at_once, 1.0, context.now)
 
 
 @when("a request waits for a slot")
--- a/tests/features/steps/warm_up_steps.py
+++ b/tests/features/steps/warm_up_steps.py
@@ -45,7 +45,7 @@
         """Let the target tell, and go on telling, whether it is cold."""
         self.cold_until = self.now + cold_left_s
         self.told_at = self.now
-        self.warm_up.note_told(cold_left_s, self.now)
+        self.warm_up.record_response(cold_left_s, self.now)
 
     def _repeat(self):
         if self.told_at is not None and self.now - self.told_at >= _WORD_EACH:
@@ -53,7 +53,7 @@
 
     def start(self):
         """Start one request."""
-        self.warm_up.note_start(self.now)
+        self.warm_up.record_start(self.now)
         self.starts.append(self.now)
 
 
@@ -102,18 +102,18 @@
 
 @when("it announces that it is cold for {seconds:f} s")
 def announce(context, seconds):
-    context.play.warm_up.note_announced(seconds, context.play.now)
+    context.play.warm_up.record_announced(seconds, context.play.now)
 
 
 @when("its health answers without a word of that")
 def say_nothing(context):
-    context.play.warm_up.note_told(None, context.play.now)
+    context.play.warm_up.record_response(None, context.play.now)
 
 
 @when("its connection breaks off")
 def break_off(context):
     context.play.told_at = None
-    context.play.warm_up.note_replaced(context.play.now)
+    context.play.warm_up.record_replaced(context.play.now)
 
 
 @when("the rate becomes {rate:f} a second with a bound of {bound:f}")
@@ -126,7 +126,7 @@
 @when("{count:d} requests that started {seconds:f} s ago are written at once")
 def write_late(context, count, seconds):
     for _ in range(count):
-        context.play.warm_up.note_start(context.play.now)
+        context.play.warm_up.record_start(context.play.now)
     context.play.now += seconds
     for _ in range(count):
         context.play.start()
--- a/tests/standins/bending.py
+++ b/tests/standins/bending.py
@@ -81,8 +81,8 @@
             ran_s = self.now - began
             self._work_s += _SMOOTHING * (ran_s - self._work_s)
             if self._adapts:
-                self.admission.note_run(job, ran_s, self.now)
+                self.admission.record_run(job, ran_s, self.now)
             else:
-                self.admission.note_work(ran_s)
+                self.admission.record_work(ran_s)
             self.admission.finish(job, self.now)
         self.now = until
--- a/tests/standins/coldfleet.py
+++ b/tests/standins/coldfleet.py
@@ -223,14 +223,14 @@
         for job, on_end in running.items():
             self.admission.finish(job, now)
             on_end("failed")
-        self.warm_up.note_replaced(now)
+        self.warm_up.record_replaced(now)
         self.fleet.at(self.down_until + _PROBE_SECONDS, self._tell)
 
     def _tell(self):
         now = self.fleet.now
         if now < self.down_until:
             return
-        self.warm_up.note_told(max(0.0, self.cold_until - now), now)
+        self.warm_up.record_response(max(0.0, self.cold_until - now), now)
         if self.admission.closed:
             self.admission.open(now)
         self.fleet.at(now + _WORD_SECONDS, self._tell)
