--- a/packages/core/src/camphorshelf_core/baselines.py
+++ b/packages/core/src/camphorshelf_core/baselines.py
@@ -1,4 +1,4 @@
-"""Simple routing policies that the scenarios compare ours with (setting ``entry.policy``)."""
+"""Simple routing policies to compare the default one with (setting ``entry.policy``)."""
 
 import itertools
 
@@ -6,21 +6,21 @@
 
 
 def make_chosen_policy(settings, failure_domain, random):
-    """Make the policy that the settings name.
+    """Return the policy that is named in the settings.
 
     :param settings: the :class:`~camphorshelf_core.settings.EntrySettings`.
-    :param failure_domain: the entry node's own.
+    :param failure_domain: the entry node's own failure domain.
     :param random: a ``random.Random``.
-    :return: a function as from :func:`~camphorshelf_core.routing.make_policy`.
+    :return: a function like that of :func:`~camphorshelf_core.routing.make_policy`.
     """
     if settings.policy == "ours":
         return make_policy(settings, failure_domain, random)
     pick = _PICKS[settings.policy](random)
 
     def choose(candidates, exclude=()):
-        # A simple policy knows nothing of health: that is one of the parts it is compared with.
-        unaware = [one._replace(ejected=False) for one in candidates]
-        usable = usable_candidates(unaware, exclude)
+        # The baselines ignore ejections: ejection is part of what they are compared with.
+        unfiltered = [candidate._replace(ejected=False) for candidate in candidates]
+        usable = usable_candidates(unfiltered, exclude)
         if not usable:
             return None
         return Choice(pick(usable), 0.0, 0.0, False, settings.policy)
@@ -33,13 +33,13 @@
 
 
 def _make_round_robin(random):
-    turns = itertools.count(random.randrange(1_000))
-    return lambda usable: usable[next(turns) % len(usable)]
+    counter = itertools.count(random.randrange(1_000))
+    return lambda usable: usable[next(counter) % len(usable)]
 
 
 def _make_least_reported(random):
-    # Others plus own calls at the time of the report, at face value whatever its age.
-    return lambda usable: min(usable, key=lambda one: (one.reported, random.random()))
+    # The reported load counts at face value, however old the report is.
+    return lambda usable: min(usable, key=lambda candidate: (candidate.reported, random.random()))
 
 
 _PICKS = {
--- a/packages/core/src/camphorshelf_core/budget.py
+++ b/packages/core/src/camphorshelf_core/budget.py
@@ -1,8 +1,13 @@
-"""A token bucket: a rate that may never be exceeded for longer than its burst."""
+"""A token bucket: limits a rate, and allows bursts of a limited size."""
 
 
 class TokenBucket:
-    """Spends tokens that come back at a fixed rate."""
+    """Holds tokens that are refilled at a fixed rate.
+
+    :param rate: tokens per second.
+    :param burst: the capacity in tokens; the bucket starts full.
+    :param now: seconds on the monotonic clock.
+    """
 
     def __init__(self, rate, burst, now):
         self._rate = rate
@@ -13,14 +18,14 @@
 
     @property
     def denied(self):
-        """How often there were too few tokens."""
+        """How many times there were too few tokens."""
         return self._denied
 
     def available(self, now):
-        """Count the tokens there are.
+        """Refill the bucket and return its tokens.
 
         :param now: seconds on the monotonic clock.
-        :return: the tokens, never negative and never above the burst.
+        :return: the number of tokens, between 0 and the burst.
         """
         self._tokens = min(self._burst, self._tokens + (now - self._filled_at) * self._rate)
         self._filled_at = now
@@ -29,7 +34,7 @@
     def spend(self, amount, now):
         """Take tokens if there are enough.
 
-        :param amount: how many.
+        :param amount: the number of tokens.
         :param now: seconds on the monotonic clock.
         :return: whether they were taken.
         """
--- a/packages/core/src/camphorshelf_core/health.py
+++ b/packages/core/src/camphorshelf_core/health.py
@@ -1,112 +1,131 @@
-"""Decides which targets of a service are taken out for failing, and when they return.
+"""Outlier detection: ejects failing targets of a service for a while and lets them return.
 
-Load pattern: a target that fails fast or has become unreachable, while load reports (or their
-lack) make it look idle. Without it, it attracts calls and each of them costs a retry.
+Handles a target that fails fast or is unreachable, while its load reports (or their absence) make
+it look idle. Without ejection it would attract calls, and each of them would cost a retry.
 
-Slow targets are not ejected: their score already leaves them little work, and ejecting on latency
-would take out good targets whenever the mix of work shifts.
+Slow targets are not ejected: their score already sends them little work, and ejection by latency
+would remove good targets whenever the mix of requests shifts.
 """
 
 from .ramp import ramp_share
 
-# Three in a row come by chance once in 10^6 calls at 1% failures, and are soon together when a
-# target really fails.
-_CONSECUTIVE = 3
+# With 1% failures, three in a row happen by chance once in 10^6 calls; a target that really fails
+# reaches them soon.
+_CONSECUTIVE_FAILURES = 3
 _SMOOTHING = 0.15
-_FAILING_SHARE = 0.5
-_LEAST_ANSWERS = 8
-# When the others fail too, the cause is the work or what lies below, not this target.
+_MIN_FAILURE_SHARE = 0.5
+_MIN_ANSWERS = 8
+# When the other targets fail too, the requests or a shared dependency are the cause.
 _OTHERS_FACTOR = 2.0
-_FIRST_SECONDS = 1.0
-_LONGEST_SECONDS = 30.0
-# A failure share from before this many seconds says little of today.
-_FORGET_SECONDS = 10.0
-# After this long without an ejection a target starts again with the shortest one.
-_CLEAN_SECONDS = 60.0
+_FIRST_EJECTION_SECONDS = 1.0
+_MAX_EJECTION_SECONDS = 30.0
+# The half-life of the failure share, since old failures say little about the present.
+_FAILURE_HALF_LIFE_SECONDS = 10.0
+# After this long without an ejection, the next one has the shortest duration again.
+_BACKOFF_RESET_SECONDS = 60.0
 RETURN_SECONDS = 5.0
-_MOST_EJECTED = 1 / 3
+_MAX_EJECTED_SHARE = 1 / 3
 
 
 class _Record:
-    __slots__ = ("answers", "failing", "in_a_row", "noted_at", "ejections", "until", "returned_at")
+    __slots__ = (
+        "answers",
+        "failure_share",
+        "consecutive_failures",
+        "last_answer_at",
+        "ejections",
+        "ejected_until",
+        "returned_at",
+    )
 
     def __init__(self):
         self.answers = 0
-        self.failing = 0.0
-        self.in_a_row = 0
-        self.noted_at = 0.0
+        self.failure_share = 0.0
+        self.consecutive_failures = 0
+        self.last_answer_at = 0.0
         self.ejections = 0
-        self.until = None
+        self.ejected_until = None
         self.returned_at = None
 
 
-class Health:
-    """The health of one service's targets as one entry node sees it."""
+class OutlierDetector:
+    """Ejects outliers among one service's targets, as one entry node sees them.
+
+    The attribute ``ejections`` counts all ejections.
+
+    :param random: the source of random numbers.
+    """
 
     def __init__(self, random):
         self._random = random
         self._records = {}
         self.ejections = 0
 
-    def note(self, target, failed, targets, now):
-        """Take in the outcome of a call.
+    def record(self, target, failed, targets, now):
+        """Record the outcome of a call, and eject the target if it is an outlier.
 
         :param target: the target's name.
-        :param failed: whether the outcome speaks against the target.
+        :param failed: whether the outcome counts as a failure of the target.
         :param targets: the names of all targets of the service.
         :param now: seconds on the monotonic clock.
-        :return: whether the target was ejected by this.
+        :return: whether this outcome ejected the target.
         """
         record = self._records.setdefault(target, _Record())
         self.update(target, now)
         record.answers += 1
-        record.failing += _SMOOTHING * (failed - record.failing)
-        record.in_a_row = record.in_a_row + 1 if failed else 0
-        record.noted_at = now
-        if not failed or record.until is not None or not self._is_outlier(target, record, targets):
+        record.failure_share += _SMOOTHING * (failed - record.failure_share)
+        record.consecutive_failures = record.consecutive_failures + 1 if failed else 0
+        record.last_answer_at = now
+        if (
+            not failed
+            or record.ejected_until is not None
+            or not self._is_outlier(target, record, targets)
+        ):
             return False
-        if self._ejected_count(targets, now) + 1 > most_ejected(len(targets)):
+        if self._ejected_count(targets, now) + 1 > max_ejected(len(targets)):
             return False
         self._eject(record, now)
         return True
 
     def update(self, target, now):
-        """Let a target return when its time is over.
+        """End a target's ejection if its time is over.
 
         :param target: the target's name.
         :param now: seconds on the monotonic clock.
-        :return: whether it is ejected now.
+        :return: whether the target is ejected now.
         """
         record = self._records.get(target)
-        if record is None or record.until is None:
+        if record is None or record.ejected_until is None:
             return False
-        if now < record.until:
+        if now < record.ejected_until:
             return True
-        record.until = None
+        record.ejected_until = None
         record.returned_at = now
-        record.failing = 0.0
+        record.failure_share = 0.0
         record.answers = 0
-        record.in_a_row = 0
+        record.consecutive_failures = 0
         return False
 
     def failure_share(self, target, now):
-        """Give the share of a target's recent answers that were failures.
+        """Return the share of failures among a target's recent answers.
 
         :param target: the target's name.
         :param now: seconds on the monotonic clock.
-        :return: between 0 and 1.
+        :return: a share between 0 and 1.
         """
         record = self._records.get(target)
         if record is None:
             return 0.0
-        return record.failing * 0.5 ** ((now - record.noted_at) / _FORGET_SECONDS)
+        return record.failure_share * 0.5 ** (
+            (now - record.last_answer_at) / _FAILURE_HALF_LIFE_SECONDS
+        )
 
     def return_share(self, target, now):
-        """Give the share of its weight that a returned target carries.
+        """Return the share of its weight that a target gets after its return.
 
         :param target: the target's name.
         :param now: seconds on the monotonic clock.
-        :return: between the ramp's least share and 1.
+        :return: a share between the ramp's lowest share and 1.
         """
         record = self._records.get(target)
         if record is None:
@@ -114,7 +133,7 @@
         return ramp_share(record.returned_at, now, RETURN_SECONDS)
 
     def forget(self, target):
-        """Drop what is known of a target that is gone.
+        """Drop the record of a target that no longer exists.
 
         :param target: the target's name.
         :return: None.
@@ -122,40 +141,48 @@
         self._records.pop(target, None)
 
     def _is_outlier(self, target, record, targets):
-        returning = record.returned_at is not None and (
-            record.noted_at - record.returned_at < RETURN_SECONDS
+        has_just_returned = record.returned_at is not None and (
+            record.last_answer_at - record.returned_at < RETURN_SECONDS
         )
-        failing = record.answers >= _LEAST_ANSWERS and record.failing >= _FAILING_SHARE
-        if not (failing or record.in_a_row >= (1 if returning else _CONSECUTIVE)):
+        is_failing = record.answers >= _MIN_ANSWERS and record.failure_share >= _MIN_FAILURE_SHARE
+        if not (
+            is_failing
+            or record.consecutive_failures >= (1 if has_just_returned else _CONSECUTIVE_FAILURES)
+        ):
             return False
         others = sorted(
-            self._records[one].failing for one in targets if one != target and one in self._records
+            self._records[other].failure_share
+            for other in targets
+            if other != target and other in self._records
         )
         if not others:
             return False
-        return record.failing >= _OTHERS_FACTOR * others[len(others) // 2]
+        return record.failure_share >= _OTHERS_FACTOR * others[len(others) // 2]
 
     def _ejected_count(self, targets, now):
-        return sum(self.update(one, now) for one in targets)
+        return sum(self.update(other, now) for other in targets)
 
     def _eject(self, record, now):
-        clean = record.returned_at is not None and now - record.returned_at > _CLEAN_SECONDS
-        record.ejections = 1 if clean else record.ejections + 1
-        seconds = min(_LONGEST_SECONDS, _FIRST_SECONDS * 2 ** (record.ejections - 1))
-        # Spread, or all entry nodes would let it return and hit it in the same moment.
-        record.until = now + seconds * self._random.uniform(0.75, 1.25)
+        is_backoff_reset = (
+            record.returned_at is not None and now - record.returned_at > _BACKOFF_RESET_SECONDS
+        )
+        record.ejections = 1 if is_backoff_reset else record.ejections + 1
+        seconds = min(_MAX_EJECTION_SECONDS, _FIRST_EJECTION_SECONDS * 2 ** (record.ejections - 1))
+        # With jitter, or all entry nodes would send to the target again in the same moment.
+        record.ejected_until = now + seconds * self._random.uniform(0.75, 1.25)
         self.ejections += 1
 
 
-def most_ejected(count):
-    """Tell how many targets of a service may be out at once.
+def max_ejected(count):
+    """Return how many targets of a service may be ejected at once.
 
-    The rest has to carry the load: with a third out the others carry half as much again, which
-    a service run at 60% survives. Of two or three targets one may be out, of one none.
+    The other targets have to carry the load: with a third ejected, each of them carries half as
+    much again, which works for a service at 60% of its capacity. Of two or three targets one may be
+    ejected, of a single target none.
 
     :param count: how many targets there are.
-    :return: how many may be ejected.
+    :return: how many of them may be ejected.
     """
     if count < 2:
         return 0
-    return max(1, int(count * _MOST_EJECTED))
+    return max(1, int(count * _MAX_EJECTED_SHARE))
--- a/packages/core/src/camphorshelf_core/hedge.py
+++ b/packages/core/src/camphorshelf_core/hedge.py
@@ -79,9 +79,9 @@
     :param typical_ms: the service's usual latency.
     :return: True or False.
     """
-    if view.answered_at is None or view.answered_at <= sent_at:
+    if view.last_answer_at is None or view.last_answer_at <= sent_at:
         return True
-    return view.latest_ms > _SLOW_RATIO * typical_ms
+    return view.last_answer_ms > _SLOW_RATIO * typical_ms
 
 
 def hedge_delay(quantile, remaining_ms, expected_ms):
--- a/packages/core/src/camphorshelf_core/loadprobes.py
+++ b/packages/core/src/camphorshelf_core/loadprobes.py
@@ -1,69 +1,73 @@
-"""Which hosts an entry node probes for the load of this moment before it sends a request.
+"""Chooses the hosts that an entry node probes for their current load before it sends a request.
 
-Load pattern: many hosts that get a few requests a second each, and whose speed changes several
-times a second. Told of each change by all, a node takes in hundreds of statuses for a handful of
-choices; told once a second, it sends many requests to hosts that have slowed down since. Probed at
-the moment of choice, a few hosts say what is true now, and one that is frozen or cut off is found
-by its silence before a request is lost there.
+Handles many hosts that get a few requests a second each and whose speed changes several times a
+second. If all hosts pushed each change, a node would process hundreds of statuses for a handful of
+decisions. If they pushed once a second, it would send many requests to hosts that have slowed down
+since. Probed at the time of the decision, a few hosts report their current state, and a frozen or
+unreachable host is noticed by its silence before a request is lost there.
 """
 
 from .placement import BROKEN_SHARE, has_room
 
-# The two that looked best when last heard, and one more drawn from the next few: probed by all
-# entry nodes, the best two alone would get the whole load of a moment.
-_BEST_PROBED = 2
-_DRAWN_FROM = 6
-# When the first three are slow or full, three more are probed.
+# The two best hosts by their last statuses are probed, and a random one of the next few: if all
+# entry nodes probed only the best two, these would get all requests of that moment.
+_BEST_HOSTS = 2
+_RANKED_HOSTS = 6
+# If the first three hosts are slow or full, three more are probed.
 MAX_PROBE_ROUNDS = 2
-# The longest that a choice waits for the answers to its probes.
+# The longest wait for the answers to the probes of one decision.
 PROBE_WAIT_SECONDS = 0.01
-# As fast as a host is when no neighbour takes its processor, with room for the grain of its figure.
-_FAST = 1.1
+# The slowness of a host without noisy neighbours, with a margin for the precision of the figure.
+_MAX_NORMAL_SLOWNESS = 1.1
 
 
 def choose_probes(candidates, probed, random):
-    """Choose the hosts to probe before one of the candidates is taken.
+    """Choose the hosts to probe before one of the candidates is chosen.
 
     :param candidates: a request's :class:`~camphorshelf_core.placement.Candidate`, the best first.
-    :param probed: addresses that were probed for this request already.
+    :param probed: the addresses that were already probed for this request.
     :param random: the source of random numbers.
-    :return: a list of addresses; empty when the best one is known well enough, or all were probed.
+    :return: a list of addresses; empty when the best candidate's status is fresh, or when all were
+        probed.
     """
     if not candidates or candidates[0].is_fresh:
         return []
-    unknown = [
-        one.address
-        for one in candidates
-        if one.is_sound and not one.is_fresh and one.address not in probed
+    stale = [
+        candidate.address
+        for candidate in candidates
+        if candidate.is_sound and not candidate.is_fresh and candidate.address not in probed
     ]
-    chosen, others = unknown[:_BEST_PROBED], unknown[_BEST_PROBED:_DRAWN_FROM]
+    chosen, others = stale[:_BEST_HOSTS], stale[_BEST_HOSTS:_RANKED_HOSTS]
     if others:
         chosen.append(random.choice(others))
     return chosen
 
 
 def put_unanswered_last(candidates, probed):
-    """Move those that have not answered behind all others.
+    """Move the candidates that haven't answered their probes to the end.
 
-    :param candidates: candidates, the best first.
-    :param probed: addresses that were probed for this request.
+    :param candidates: the candidates, the best first.
+    :param probed: the addresses that were probed for this request.
     :return: the candidates in their new order.
     """
-    return sorted(candidates, key=lambda one: one.address in probed and not one.is_fresh)
+    return sorted(
+        candidates, key=lambda candidate: candidate.address in probed and not candidate.is_fresh
+    )
 
 
 def is_sufficient(view, domain, now):
-    """Tell whether the answer of one host is good enough not to wait for the others'.
+    """Return whether one host's answer is good enough not to wait for the others.
 
-    The slowest of three answers after 5 to 10 ms on hosts with half a core, the first after 2;
-    a near host that is fast and has a free slot is as good as any that may still answer.
+    On hosts with half a processor core, the first of three answers takes 2 ms and the slowest one
+    5 to 10 ms. A fast host in the own failure domain with a free slot is as good as any host that
+    may still answer.
 
-    :param view: the :class:`~camphorshelf_core.hosts.HostView` of the host that has answered.
+    :param view: the :class:`~camphorshelf_core.hosts.HostView` of the host that answered.
     :param domain: the own failure domain.
     :param now: seconds on the monotonic clock.
     :return: True or False.
     """
     status = view.status
-    is_sound = status.failing < BROKEN_SHARE / 2 and status.warming_s == 0
-    is_near_and_fast = status.domain == domain and status.slowness <= _FAST
-    return is_sound and is_near_and_fast and has_room(view, now)
+    is_healthy = status.failing < BROKEN_SHARE / 2 and status.warming_s == 0
+    is_near_and_fast = status.domain == domain and status.slowness <= _MAX_NORMAL_SLOWNESS
+    return is_healthy and is_near_and_fast and has_room(view, now)
--- a/packages/core/src/camphorshelf_core/sensing.py
+++ b/packages/core/src/camphorshelf_core/sensing.py
@@ -1,39 +1,45 @@
-"""Decides which targets are probed for their load, within a budget that cannot be exceeded.
+"""Decides which targets are probed for their load, within a fixed budget.
 
-Load pattern: an entry node that sends too few calls to learn a target's load from the answers.
-Without probes it would judge by reports that are seconds old; without the budget, probing grows
-with the calls and the targets, and costs most when everything is failing.
+Handles an entry node that sends too few calls to learn the load of its targets from the answers.
+Without probes it would rely on reports that are seconds old. Without a budget, probing would grow
+with the calls and the targets, and cost most when everything is failing.
 
-When the budget is spent there is no probe: reports age, and routing leans on its own counts.
+When the budget is spent no probe is sent: the reports age, and routing relies on the node's own
+counts.
 """
 
 from typing import NamedTuple
 
 from .budget import TokenBucket
 
-# IP and UDP headers; the budget is for what the network carries, not for the payload alone.
+# IP and UDP headers: the budget covers all bytes on the network, not just the payload.
 DATAGRAM_OVERHEAD = 28
 PROBE_BYTES = 96
-# Charged for each probe sent or answered before the work is done. Asking with its answer took
-# 32 us and answering 16 us on the machine of the bench, system calls included.
+# Charged for each probe sent or answered, before the work is done. A probe and its answer cost the
+# sender 32 us and an answer costs the other node 16 us, system calls included.
 PROBE_MICROSECONDS = 120
-# A report younger than this is not worth a probe.
-_FRESH_SECONDS = 0.05
-# A probe unanswered for this long is lost.
-_LOST_SECONDS = 1.0
-_DRAWN = 3
+# A target with a younger report isn't probed.
+_MIN_REPORT_AGE_SECONDS = 0.05
+# A probe without an answer after this time is lost.
+_PROBE_TIMEOUT_SECONDS = 1.0
+_SAMPLED_TARGETS = 3
 
 
 class Probe(NamedTuple):
-    """A probe to send."""
+    """A probe to send, with its number, the target's name and the address of its node."""
 
     number: int
     target: str
     address: str
 
 
-class Sensing:
-    """Spends the probing budget of one node, both for asking and for answering."""
+class ProbeScheduler:
+    """Spends one node's probing budget, on its own probes and on answers to those of others.
+
+    :param settings: the :class:`~camphorshelf_core.settings.SensingSettings`.
+    :param random: the source of random numbers.
+    :param now: seconds on the monotonic clock.
+    """
 
     def __init__(self, settings, random, now):
         self._random = random
@@ -54,32 +60,32 @@
 
     @property
     def pending(self):
-        """How many probes wait for their answer."""
+        """How many probes wait for an answer."""
         return len(self._pending)
 
-    def plan(self, candidates, now):
-        """Choose a target to probe: the one of a few random ones with the oldest report.
+    def next_probe(self, candidates, now):
+        """Return the next probe to send: of a few random targets, the one with the oldest report.
 
         :param candidates: the targets of the service that a call is for.
         :param now: seconds on the monotonic clock.
-        :return: the :class:`Probe`, or None.
+        :return: the :class:`Probe`, or None when the budget is spent or all reports are fresh.
         """
         self._expire(now)
-        if not self._has_enough(now):
+        if not self._check_available(now):
             self.denied += 1
             return None
-        waiting = {probe.target for probe, _ in self._pending.values()}
-        old = [
-            one
-            for one in candidates
-            if (one.report_age is None or one.report_age > _FRESH_SECONDS)
-            and one.target not in waiting
-            and not one.leaving
+        awaited = {probe.target for probe, _ in self._pending.values()}
+        stale = [
+            candidate
+            for candidate in candidates
+            if (candidate.report_age is None or candidate.report_age > _MIN_REPORT_AGE_SECONDS)
+            and candidate.target not in awaited
+            and not candidate.leaving
         ]
-        if not old:
+        if not stale:
             return None
-        drawn = self._random.sample(old, min(_DRAWN, len(old)))
-        oldest = max(drawn, key=_age)
+        sampled = self._random.sample(stale, min(_SAMPLED_TARGETS, len(stale)))
+        oldest = max(sampled, key=_report_age)
         if not self._charge(now):
             return None
         self._number += 1
@@ -88,62 +94,62 @@
         self.sent += 1
         return probe
 
-    def take_answer(self, number):
+    def match_answer(self, number):
         """Match an answer to its probe.
 
         :param number: the probe's number.
-        :return: the pair of the target's name and when it was asked, or None when nobody asked
-            or the answer came too late.
+        :return: the pair of the target's name and when the probe was sent, or None when the number
+            is unknown or the answer came too late.
         """
         entry = self._pending.pop(number, None)
         return None if entry is None else (entry[0].target, entry[1])
 
     def may_answer(self, now):
-        """Decide whether to answer a peer's probe.
+        """Charge the budget for the answer to another node's probe.
 
         :param now: seconds on the monotonic clock.
-        :return: False when the budget is spent; the peer then lives with an older report.
+        :return: False when the budget is spent; the other node then keeps its older report.
         """
         if not self._charge(now):
             return False
         self.answered += 1
         return True
 
-    def _has_enough(self, now):
-        enough = self._bytes.available(now) >= PROBE_BYTES
-        return enough and self._cpu.available(now) >= PROBE_MICROSECONDS
+    def _check_available(self, now):
+        has_bytes = self._bytes.available(now) >= PROBE_BYTES
+        return has_bytes and self._cpu.available(now) >= PROBE_MICROSECONDS
 
     def _charge(self, now):
-        if not self._has_enough(now):
+        if not self._check_available(now):
             self.denied += 1
             return False
         self._bytes.spend(PROBE_BYTES, now)
         self._cpu.spend(PROBE_MICROSECONDS, now)
         self.spent_bytes += PROBE_BYTES
         self.spent_microseconds += PROBE_MICROSECONDS
-        self._check(now)
+        self._assert_budget_kept(now)
         return True
 
-    def _check(self, now):
-        # The promise to the users, asserted where it could break: whatever happened since the
-        # start, no more was spent than burst and rate allow.
-        seconds = now - self._started_at
+    def _assert_budget_kept(self, now):
+        # The budget is a guarantee to the users: since the start, no more may have been spent than
+        # the burst and the rate allow.
+        elapsed_s = now - self._started_at
         settings = self._settings
-        limit = settings.burst_bytes + settings.bytes_per_second * seconds
-        assert self.spent_bytes <= limit + 1, "probes exceeded their bytes"
-        limit = settings.cpu_microseconds_per_second * (1 + seconds)
-        assert self.spent_microseconds <= limit + 1, "probes exceeded their processor time"
+        limit = settings.burst_bytes + settings.bytes_per_second * elapsed_s
+        assert self.spent_bytes <= limit + 1, "probes exceeded their byte budget"
+        limit = settings.cpu_microseconds_per_second * (1 + elapsed_s)
+        assert self.spent_microseconds <= limit + 1, "probes exceeded their processor time budget"
 
     def _expire(self, now):
         lost = [
             number
             for number, (_, sent_at) in self._pending.items()
-            if now - sent_at > _LOST_SECONDS
+            if now - sent_at > _PROBE_TIMEOUT_SECONDS
         ]
         for number in lost:
             del self._pending[number]
         self.lost += len(lost)
 
 
-def _age(candidate):
+def _report_age(candidate):
     return float("inf") if candidate.report_age is None else candidate.report_age
--- a/packages/node/src/camphorshelf_node/load.py
+++ b/packages/node/src/camphorshelf_node/load.py
@@ -1,6 +1,6 @@
 """The controller that keeps what this entry node knows of each target's load and health."""
 
-from camphorshelf_core.health import Health
+from camphorshelf_core.health import OutlierDetector
 from camphorshelf_core.hedge import is_suspect
 from camphorshelf_core.load import LoadView
 from camphorshelf_core.ramp import ShiftingWeight, ramp_share
@@ -86,7 +86,7 @@
             wanted = weights.get(target, 1.0)
             if target not in self._weights:
                 self._weights[target] = ShiftingWeight(1.0, now)
-            self._weights[target].want(wanted, now)
+            self._weights[target].move_to(wanted, now)
 
     def note_sent(self, target):
         """Count a call on its way to a target.
@@ -94,7 +94,7 @@
         :param target: the target's name.
         :return: None.
         """
-        self._view(target).note_sent()
+        self._view(target).record_sent()
 
     def note_done(self, target, load, latency_ms=None):
         """Count a call as done.
@@ -105,17 +105,17 @@
         :return: None.
         """
         view = self._view(target)
-        view.note_done()
+        view.record_done()
         if load is None:
             return
         now = self._loop.now()
-        view.note_report(load, now)
+        view.record_report(load, now)
         self._leavers.note_report(target, load)
         if latency_ms is None:
             return
-        view.note_answer(latency_ms, now)
+        view.record_answer(latency_ms, now)
         if load.queued == 0:
-            view.note_latency(latency_ms, now)
+            view.record_latency(latency_ms, now)
 
     def is_suspect(self, target, sent_at, typical_ms):
         """Tell whether a call that is overdue speaks against its target, and remember it.
@@ -128,7 +128,7 @@
         view = self._view(target)
         if not is_suspect(view, sent_at, typical_ms):
             return False
-        view.note_overdue(1)
+        view.record_overdue(1)
         return True
 
     def note_overdue_done(self, target, given_up_ms):
@@ -139,9 +139,9 @@
         :return: None.
         """
         view = self._view(target)
-        view.note_overdue(-1)
+        view.record_overdue(-1)
         if given_up_ms is not None:
-            view.note_slow(given_up_ms, self._loop.now())
+            view.record_slow(given_up_ms, self._loop.now())
 
     def note_report(self, target, load):
         """Take in the report that answers a probe.
@@ -150,7 +150,7 @@
         :param load: the :class:`LoadReport`.
         :return: None.
         """
-        self._view(target).note_report(load, self._loop.now())
+        self._view(target).record_report(load, self._loop.now())
         self._leavers.note_report(target, load)
 
     def note_outcome(self, service, target, failed):
@@ -162,7 +162,7 @@
         :return: whether the target was ejected by this.
         """
         names = [member.node for member in self._subset(service)]
-        return self._health_of(service).note(target, failed, names, self._loop.now())
+        return self._health_of(service).record(target, failed, names, self._loop.now())
 
     def _candidate(self, member, health, now):
         name = member.node
@@ -177,7 +177,7 @@
             own_in_flight=view.own_in_flight,
             others_in_flight=view.others_in_flight,
             reported=report.in_flight + report.queued if report else 0,
-            report_age=view.age(now),
+            report_age=view.report_age(now),
             reported_latency_ms=report.latency_ms if report else None,
             own_latency_ms=own[0] if own else None,
             own_latency_age=own[1] if own else 0.0,
@@ -214,7 +214,7 @@
     def _health_of(self, service):
         health = self._health.get(service)
         if health is None:
-            health = self._health[service] = Health(self._random)
+            health = self._health[service] = OutlierDetector(self._random)
         return health
 
     def _view(self, target):
--- a/packages/node/src/camphorshelf_node/sensing.py
+++ b/packages/node/src/camphorshelf_node/sensing.py
@@ -1,7 +1,7 @@
 """The controller that probes the load of targets and answers peers' probes, by datagram."""
 
 from camphorshelf_core.messages import ProbeAnswerMessage, ProbeMessage, encode
-from camphorshelf_core.sensing import DATAGRAM_OVERHEAD, PROBE_BYTES, Sensing
+from camphorshelf_core.sensing import DATAGRAM_OVERHEAD, PROBE_BYTES, ProbeScheduler
 
 
 class ProbeController:
@@ -13,7 +13,7 @@
         self._keeper = keeper
         self._gatekeeper = gatekeeper
         self._own_address = settings.listen.peers
-        self._sensing = Sensing(settings.sensing, random, loop.now())
+        self._sensing = ProbeScheduler(settings.sensing, random, loop.now())
         gossip.on_message(ProbeMessage, self._on_probe)
         gossip.on_message(ProbeAnswerMessage, self._on_answer)
 
@@ -29,7 +29,7 @@
         :return: None.
         """
         remote = [one for one in candidates if one.address != self._own_address]
-        probe = self._sensing.plan(remote, self._loop.now())
+        probe = self._sensing.next_probe(remote, self._loop.now())
         if probe is not None:
             self._send(ProbeMessage(probe.number), probe.address)
 
@@ -38,7 +38,7 @@
             self._send(ProbeAnswerMessage(message.number, self._gatekeeper.load), address)
 
     def _on_answer(self, message, _address):
-        asked = self._sensing.take_answer(message.number)
+        asked = self._sensing.match_answer(message.number)
         if asked is not None:
             target, sent_at = asked
             self._keeper.note_report(target, message.load)
--- a/tests/features/steps/entry_parts_steps.py
+++ b/tests/features/steps/entry_parts_steps.py
@@ -9,7 +9,7 @@
 
 from camphorshelf_core.calls import Response, is_idempotent
 from camphorshelf_core.errors import Code, Ran, Refusal
-from camphorshelf_core.health import Health
+from camphorshelf_core.health import OutlierDetector
 from camphorshelf_core.load import LoadReport, LoadView
 from camphorshelf_core.ramp import ShiftingWeight
 from camphorshelf_core.retry import (
@@ -23,7 +23,7 @@
 )
 from camphorshelf_core.roster import Member, MemberState
 from camphorshelf_core.routing import Candidate
-from camphorshelf_core.sensing import PROBE_BYTES, PROBE_MICROSECONDS, Sensing
+from camphorshelf_core.sensing import PROBE_BYTES, PROBE_MICROSECONDS, ProbeScheduler
 from camphorshelf_core.settings import SensingSettings
 from camphorshelf_core.subset import choose_subset, subset_size
 from standins.patterns import PATTERNS
@@ -162,10 +162,10 @@
 
 
 def _health(answers=20):
-    health = Health(random.Random(7))
+    health = OutlierDetector(random.Random(7))
     for name in _TARGETS:
         for turn in range(answers):
-            health.note(name, False, _TARGETS, turn * 0.01)
+            health.record(name, False, _TARGETS, turn * 0.01)
     return health
 
 
@@ -173,7 +173,7 @@
 def fail_three_times(context):
     context.health = _health()
     context.now = 10.0
-    verdicts = [context.health.note("t0", True, _TARGETS, context.now) for _ in range(3)]
+    verdicts = [context.health.record("t0", True, _TARGETS, context.now) for _ in range(3)]
     assert verdicts == [False, False, True], verdicts
 
 
@@ -192,7 +192,7 @@
 
 @then("one more failure ejects it for {least:g} to {most:g} seconds")
 def check_ejected_longer(context, least, most):
-    assert context.health.note("t0", True, _TARGETS, context.now)
+    assert context.health.record("t0", True, _TARGETS, context.now)
     check_ejected(context, least, most)
 
 
@@ -201,14 +201,14 @@
     context.health = _health()
     for turn, name in enumerate(_TARGETS[:5]):
         for _ in range(4):
-            context.health.note(name, True, _TARGETS, 10.0 + turn * 0.01)
+            context.health.record(name, True, _TARGETS, 10.0 + turn * 0.01)
 
 
 @when("all six targets fail by turns")
 def fail_all(context):
     context.health = _health()
     for turn in range(60):
-        context.health.note(_TARGETS[turn % 6], True, _TARGETS, 10.0 + turn * 0.001)
+        context.health.record(_TARGETS[turn % 6], True, _TARGETS, 10.0 + turn * 0.001)
 
 
 @then("{count:d} of them are ejected")
@@ -235,8 +235,8 @@
 @when("a report of {count:d} calls arrives and then one made {earlier:d} ms earlier that says 0")
 def arrive_late(context, count, earlier):
     context.view = LoadView()
-    context.view.note_report(LoadReport(count, 0, 10, 5.0, at_ms=50_000), 100.0)
-    context.view.note_report(LoadReport(0, 0, 10, 5.0, at_ms=50_000 - earlier), 100.1)
+    context.view.record_report(LoadReport(count, 0, 10, 5.0, at_ms=50_000), 100.0)
+    context.view.record_report(LoadReport(0, 0, 10, 5.0, at_ms=50_000 - earlier), 100.1)
 
 
 @then("the view still says {count:d}")
@@ -247,19 +247,19 @@
 @when("a first report arrives in 1 ms and a second one is {delay:d} ms on its way")
 def arrive_delayed(context, delay):
     context.view = LoadView()
-    context.view.note_report(LoadReport(1, 0, 10, 5.0, at_ms=50_000), 100.001)
-    context.view.note_report(LoadReport(1, 0, 10, 5.0, at_ms=51_000), 101.0 + delay / 1000)
+    context.view.record_report(LoadReport(1, 0, 10, 5.0, at_ms=50_000), 100.001)
+    context.view.record_report(LoadReport(1, 0, 10, 5.0, at_ms=51_000), 101.0 + delay / 1000)
 
 
 @then("the second one's age is about {age:d} ms")
 def check_age(context, age):
-    assert abs(context.view.age(101.4) * 1000 - age) < 2, context.view.age(101.4)
+    assert abs(context.view.report_age(101.4) * 1000 - age) < 2, context.view.report_age(101.4)
 
 
 @when("the weight of a target goes from 1 to 0 in the configuration")
 def change_weight(context):
     context.weight = ShiftingWeight(1.0, 100.0)
-    context.weight.want(0.0, 100.0)
+    context.weight.move_to(0.0, 100.0)
 
 
 @then("its weight is {half:g} after 2 seconds and {end:g} after 4 seconds")
@@ -330,18 +330,18 @@
 
 
 def _run_probes(events):
-    sensing = Sensing(_SETTINGS, random.Random(3), 100.0)
+    sensing = ProbeScheduler(_SETTINGS, random.Random(3), 100.0)
     now = 100.0
     numbers = []
     for kind, pause in events:
         now += pause
         if kind == "call":
-            probe = sensing.plan(_CANDIDATES, now)
+            probe = sensing.next_probe(_CANDIDATES, now)
             numbers += [probe.number] if probe else []
         elif kind == "asked":
             sensing.may_answer(now)
         elif numbers:
-            sensing.take_answer(numbers.pop())
+            sensing.match_answer(numbers.pop())
         spent = (sensing.sent + sensing.answered) * PROBE_BYTES
         assert spent <= 960 + 960 * (now - 100.0) + 1
         work = (sensing.sent + sensing.answered) * PROBE_MICROSECONDS
@@ -363,7 +363,7 @@
     bucket = "camphorshelf_core.sensing.TokenBucket.available"
     with mock.patch(bucket, lambda self, now: float("inf")):
         try:
-            sensing = Sensing(_SETTINGS, random.Random(3), 100.0)
+            sensing = ProbeScheduler(_SETTINGS, random.Random(3), 100.0)
             for _ in range(300):
                 sensing.may_answer(100.0)
         except AssertionError as error:
