--- a/packages/core/src/camphorshelf_core/calls.py
+++ b/packages/core/src/camphorshelf_core/calls.py
@@ -1,4 +1,4 @@
-"""The call, its answer and the identifiers they carry."""
+"""Requests, responses and the identifiers of attempts."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class Request(NamedTuple):
-    """A caller's HTTP request with its body read in full."""
+    """A caller's HTTP request with its complete body."""
 
     method: str
     path: bytes
@@ -17,7 +17,7 @@
 
 
 class Response(NamedTuple):
-    """A target's HTTP answer with its body read in full."""
+    """A target's HTTP response with its complete body."""
 
     status: int
     headers: Headers
@@ -25,9 +25,9 @@
 
 
 class AttemptId(NamedTuple):
-    """Names one attempt to run a call; never reused.
+    """Identifies one attempt to run a call; it is never reused.
 
-    ``incarnation`` is drawn anew at each start of a node, ``number`` only grows.
+    ``incarnation`` is a new random value at each start of a node; ``number`` only increases.
     """
 
     incarnation: str
@@ -35,18 +35,18 @@
 
 
 def is_idempotent(method):
-    """Tell whether a second run of a method does no harm.
+    """Return whether a method may run a second time without harm.
 
-    :param method: the HTTP method in capitals.
-    :return: True for the methods that RFC 9110 calls idempotent.
+    :param method: the HTTP method in upper case.
+    :return: True for the methods that RFC 9110 defines as idempotent.
     """
     return method in IDEMPOTENT_METHODS
 
 
 def header(headers, name):
-    """Find the first value of a header.
+    """Return the first value of a header.
 
-    :param headers: pairs of lower-case name and value.
+    :param headers: pairs of name in lower case and value, as bytes.
     :param name: the name in lower case, as bytes.
     :return: the value, or None.
     """
--- a/packages/core/src/camphorshelf_core/circuit.py
+++ b/packages/core/src/camphorshelf_core/circuit.py
@@ -1,10 +1,10 @@
-"""Decides when a failing service is left alone and when it is tried again.
+"""A circuit breaker: stops requests to a failing service and decides when to try it again.
 
-Answers the load that a recovering platform gets when every node has been waiting for it: without
-it each call waits out a timeout and each node goes on sending, so the platform comes back under
-the traffic of the whole system. Three failures in a row are more than one lost packet and less
-than the calls of a tenth of a second; the wait doubles up to five seconds, which is short beside
-an outage, and is drawn at random below that, so that nodes do not come back together.
+Handles the load on a recovering platform that every node has been waiting for. Without it each call
+would wait for a timeout and each node would go on sending, so the platform would come back under
+the traffic of the whole system. Three failures in a row are more than one lost packet and fewer
+than the calls within a tenth of a second. The wait doubles up to five seconds, which is short
+compared with an outage, and has jitter, so that the nodes don't return all at once.
 """
 
 FAILURES_TO_OPEN = 3
@@ -12,61 +12,64 @@
 _MAX_WAIT_SECONDS = 5.0
 
 
-class Circuit:
-    """Counts failures in a row and lets single trials through while it is open."""
+class CircuitBreaker:
+    """Counts successive failures, and allows single trial requests while it is open.
+
+    :param random: the source of random numbers.
+    """
 
     def __init__(self, random):
         self._random = random
         self._failures = 0
-        self._opened = 0
-        self._trial_at = None
+        self._openings = 0
+        self._next_trial_at = None
 
     @property
     def is_open(self):
-        """Whether the service is being left alone."""
-        return self._trial_at is not None
+        """Whether requests are stopped, apart from trials."""
+        return self._next_trial_at is not None
 
     def allows(self, now):
-        """Tell whether a request may go out; when open, this is the one trial.
+        """Return whether a request may be sent; while open, True starts the one trial.
 
         :param now: seconds on the monotonic clock.
         :return: True or False.
         """
-        if self._trial_at is None:
+        if self._next_trial_at is None:
             return True
-        if now < self._trial_at:
+        if now < self._next_trial_at:
             return False
-        self._trial_at = now + self._wait()
+        self._next_trial_at = now + self._draw_wait_s()
         return True
 
     def retry_after(self, now):
-        """Tell how long to wait before the next trial.
+        """Return the time until the next trial.
 
         :param now: seconds on the monotonic clock.
-        :return: seconds, 0 when the circuit is closed.
+        :return: seconds, 0.0 when the circuit breaker is closed.
         """
-        return 0.0 if self._trial_at is None else max(0.0, self._trial_at - now)
+        return 0.0 if self._next_trial_at is None else max(0.0, self._next_trial_at - now)
 
-    def note_success(self):
-        """Take note of an answer.
+    def record_success(self):
+        """Record an answer and close the circuit breaker.
 
         :return: None.
         """
         self._failures = 0
-        self._opened = 0
-        self._trial_at = None
+        self._openings = 0
+        self._next_trial_at = None
 
-    def note_failure(self, now):
-        """Take note of a failure.
+    def record_failure(self, now):
+        """Record a failure, and open the circuit breaker if there were enough of them.
 
         :param now: seconds on the monotonic clock.
         :return: None.
         """
         self._failures += 1
         if self._failures >= FAILURES_TO_OPEN:
-            self._opened += 1
-            self._trial_at = now + self._wait()
+            self._openings += 1
+            self._next_trial_at = now + self._draw_wait_s()
 
-    def _wait(self):
-        longest = min(_MAX_WAIT_SECONDS, _FIRST_WAIT_SECONDS * 2 ** min(self._opened, 10))
-        return self._random.uniform(longest / 2, longest)
+    def _draw_wait_s(self):
+        max_wait_s = min(_MAX_WAIT_SECONDS, _FIRST_WAIT_SECONDS * 2 ** min(self._openings, 10))
+        return self._random.uniform(max_wait_s / 2, max_wait_s)
--- a/packages/core/src/camphorshelf_core/drain.py
+++ b/packages/core/src/camphorshelf_core/drain.py
@@ -1,10 +1,10 @@
-"""The states of a target that leaves: nothing new, the rest finished, told when empty."""
+"""The states of draining a target: no new calls, calls in flight finish, the target is notified."""
 
 from enum import Enum
 
 
 class Phase(Enum):
-    """Where a target stands; the value is what the target itself is told."""
+    """The state of a target; the value is sent to the target."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -13,91 +13,91 @@
 
 
 class Source(Enum):
-    """Who wants a target to leave."""
+    """Who requests a target to leave."""
 
     OPERATOR = "operator"
     TARGET = "target"
 
 
 class Drain:
-    """Remembers who wants the target to leave and whether it was told that it is empty.
+    """Tracks who requests the target to leave, and whether it was notified that it is empty.
 
-    A target may be wanted gone by its operator and by itself; taking back one wish leaves the
-    other in force.
+    Both its operator and the target itself can request it; a revoked request leaves the other one
+    in force.
     """
 
     def __init__(self):
-        self._wishes = set()
-        self._told = False
-        self._gone = False
+        self._leave_requests = set()
+        self._is_notified = False
+        self._is_gone = False
 
     @property
     def closed(self):
-        """Whether no new call may reach the target.
+        """Whether no new call may be sent to the target.
 
-        A target that was told to go may stop at any moment: after its leave is taken back it
-        gets calls only once it has announced itself again.
+        A target that was notified may stop at any moment. Even if the request to leave is revoked,
+        it gets calls only after it has announced itself again.
         """
-        return bool(self._wishes) or self._told or self._gone
+        return bool(self._leave_requests) or self._is_notified or self._is_gone
 
     @property
-    def told(self):
-        """Whether the target knows that it is empty."""
-        return self._told
+    def is_notified(self):
+        """Whether the target was notified that it is empty."""
+        return self._is_notified
 
-    def wish(self, source, leaving):
-        """Note that somebody wants the target to leave, or no longer wants it.
+    def set_leaving(self, source, leaving):
+        """Add or revoke a request to leave.
 
         :param source: a :class:`Source`.
         :param leaving: True to leave, False to stay.
         :return: None.
         """
         if leaving:
-            self._wishes.add(source)
+            self._leave_requests.add(source)
         else:
-            self._wishes.discard(source)
+            self._leave_requests.discard(source)
 
     def phase(self, in_flight):
-        """Tell where the target stands.
+        """Return the target's phase.
 
         :param in_flight: its calls in flight.
         :return: a :class:`Phase`.
         """
-        if self._gone:
+        if self._is_gone:
             return Phase.GONE
-        if not self._wishes:
+        if not self._leave_requests:
             return Phase.SERVING
         return Phase.LEAVING if in_flight else Phase.EMPTY
 
-    def must_tell(self, in_flight):
-        """Say whether the target is to be told now that it is empty.
+    def must_notify(self, in_flight):
+        """Return whether the target is to be notified now that it is empty.
 
         :param in_flight: its calls in flight.
         :return: True or False.
         """
-        return self.phase(in_flight) is Phase.EMPTY and not self._told
+        return self.phase(in_flight) is Phase.EMPTY and not self._is_notified
 
-    def note_told(self):
-        """Note that the target took the news.
+    def record_notified(self):
+        """Record that the target has received the notification.
 
         :return: None.
         """
-        self._told = True
+        self._is_notified = True
 
-    def note_gone(self):
-        """Note that the target ended; its own wish is fulfilled, an operator's stays.
+    def record_gone(self):
+        """Record that the target has ended: its own request is done, an operator's stays in force.
 
         :return: None.
         """
-        self._gone = True
-        self._told = False
-        self._wishes.discard(Source.TARGET)
+        self._is_gone = True
+        self._is_notified = False
+        self._leave_requests.discard(Source.TARGET)
 
-    def note_announced(self):
-        """Note that the target announced itself.
+    def record_announced(self):
+        """Record that the target has announced itself.
 
         :return: None.
         """
-        self._gone = False
-        if not self._wishes:
-            self._told = False
+        self._is_gone = False
+        if not self._leave_requests:
+            self._is_notified = False
--- a/packages/core/src/camphorshelf_core/evacuation.py
+++ b/packages/core/src/camphorshelf_core/evacuation.py
@@ -1,19 +1,19 @@
-"""Failure domains that operators evacuate: no target there gets a request until they take it back.
+"""Failure domains that operators have evacuated: their targets get no requests in the meantime.
 
-Nodes learn of it from the store or from each other, in any order and after any restart. So what is
-known of all failure domains is one value with the store's version for which it holds, and of two
-values the one for the later version is right.
+Nodes learn of evacuations from the store or from each other, in any order and after any restart. So
+all evacuations form one value with the version of the store that it was read at, and of two values
+the one with the higher version is valid.
 """
 
 from typing import NamedTuple
 
 
 class Evacuations(NamedTuple):
-    """All evacuated failure domains, as of one version of the store.
+    """All evacuated failure domains at one version of the store.
 
-    :param as_of: the store's version for which this holds; 0 when nothing is known.
-    :param changed_at: the version at which it was first seen like this; 0 when no domain was ever
-        seen evacuated.
+    :param as_of: the store's version that this was read at; 0 when nothing is known.
+    :param changed_at: the version at which these domains were first seen; 0 when no evacuation was
+        ever seen.
     :param domains: the versions of the operators' rows, by failure domain.
     """
 
@@ -21,19 +21,19 @@
     changed_at: int = 0
     domains: dict = {}
 
-    def lacks(self, changed_at):
-        """Tell whether another node knows of a change that is not known here.
+    def misses_change(self, changed_at):
+        """Return whether another node knows of a change that is unknown here.
 
         :param changed_at: that node's :attr:`changed_at`.
         :return: True or False.
         """
         return changed_at > self.as_of
 
-    def renew(self, domains, version):
-        """Take in what the store holds.
+    def with_updates(self, domains, version):
+        """Return the evacuations at a newer version of the store.
 
-        :param domains: the rows' versions, by failure domain.
-        :param version: the store's version for which they hold.
+        :param domains: the versions of the operators' rows, by failure domain.
+        :param version: the store's version that the rows were read at.
         :return: the :class:`Evacuations` of that version.
         """
         changed_at = self.changed_at if domains == self.domains else version
--- a/packages/core/src/camphorshelf_core/invariants.py
+++ b/packages/core/src/camphorshelf_core/invariants.py
@@ -1,25 +1,25 @@
-"""Counts broken invariants, so that a node refuses rather than goes on wrongly."""
+"""Counts violated invariants, so that a node refuses calls instead of continuing wrongly."""
 
 from collections import Counter
 
 
 class Invariants:
-    """What must hold, checked where it could break."""
+    """Checks invariants where they could be violated, and counts violations."""
 
     def __init__(self):
         self._broken = Counter()
 
     @property
     def broken(self):
-        """How often each invariant was found broken, by name."""
+        """How often each invariant was violated, by name."""
         return dict(self._broken)
 
     def holds(self, name, condition):
-        """Check an invariant and count it when it is broken.
+        """Check an invariant, and count a violation.
 
-        :param name: its name in the metrics.
-        :param condition: whether it holds.
-        :return: the condition; the caller gives up the call when it is False.
+        :param name: the invariant's name in the metrics.
+        :param condition: whether the invariant holds.
+        :return: the condition; when it is False, the caller of this method aborts the call.
         """
         if not condition:
             self._broken[name] += 1
--- a/packages/node/src/camphorshelf_node/drain.py
+++ b/packages/node/src/camphorshelf_node/drain.py
@@ -43,7 +43,7 @@
         :param leaving: True to leave, False to stay.
         :return: None.
         """
-        self._drain.wish(source, leaving)
+        self._drain.set_leaving(source, leaving)
         self._gatekeeper.apply()
         self._start_steps()
 
@@ -56,9 +56,9 @@
         self._announced_at = self._loop.now()
         if instance != self._instance:
             if self._instance is not None:
-                self._drain.note_gone()
+                self._drain.record_gone()
             self._instance = instance
-        self._drain.note_announced()
+        self._drain.record_announced()
         self._gatekeeper.apply()
         self._start_steps()
 
@@ -87,11 +87,11 @@
     def _try(self, now):
         if self.client is None:
             return
-        if self._drain.must_tell(self._in_flight()):
+        if self._drain.must_notify(self._in_flight()):
             self._next_try = now + self._settings.retry_ms / 1000
             request = Request("POST", self._settings.path.encode(), _HEADERS, b"")
             self.client.send(request, self._on_told)
-        elif self._drain.told:
+        elif self._drain.is_notified:
             self._next_try = now + _PROBE_SECONDS
             self._probe()
 
@@ -99,10 +99,10 @@
         if isinstance(result, Failed):
             if not result.sent:
                 self._on_gone()
-        elif result.status < _SERVER_ERRORS and self._drain.must_tell(self._in_flight()):
+        elif result.status < _SERVER_ERRORS and self._drain.must_notify(self._in_flight()):
             # A target without this path answers 404; it reads on its next announcement that
             # it is empty.
-            self._drain.note_told()
+            self._drain.record_notified()
             self._gatekeeper.log.info("the target is empty and was told so")
 
     def _probe(self):
@@ -117,6 +117,6 @@
 
     def _on_gone(self):
         if self._drain.closed:
-            self._drain.note_gone()
+            self._drain.record_gone()
             self._gatekeeper.apply()
             self._gatekeeper.log.info("the leaving target has ended")
--- a/packages/node/src/camphorshelf_node/platform.py
+++ b/packages/node/src/camphorshelf_node/platform.py
@@ -8,7 +8,7 @@
 
 from camphorshelf_core.budget import TokenBucket
 from camphorshelf_core.calls import Request, header
-from camphorshelf_core.circuit import Circuit
+from camphorshelf_core.circuit import CircuitBreaker
 from camphorshelf_core.settings import split_address
 from camphorshelf_core.table import Outage, WriteOutcome
 
@@ -39,7 +39,7 @@
         self._loop = loop
         self._settings = settings
         self._timeout = settings.timeout_ms / 1000
-        self._circuit = Circuit(random.Random())
+        self._circuit = CircuitBreaker(random.Random())
         rate = settings.requests_per_second
         self._budget = TokenBucket(rate, rate, loop.now())
         self._table = self._make_client(settings.table)
@@ -251,9 +251,9 @@
     def _note(self, result):
         now = self._loop.now()
         if isinstance(result, Failed) or result.status >= 500:
-            self._circuit.note_failure(now)
+            self._circuit.record_failure(now)
             return
-        self._circuit.note_success()
+        self._circuit.record_success()
         date = header(result.headers, b"date")
         if date is not None:
             self._date = date.decode("latin-1"), now
--- a/packages/relay/src/camphorshelf_relay/configkeeper.py
+++ b/packages/relay/src/camphorshelf_relay/configkeeper.py
@@ -168,7 +168,7 @@
             self._fetch(view.status)
 
     def _is_newer(self, status):
-        has_evacuation = self.evacuations.held.lacks(status.evacuation_version)
+        has_evacuation = self.evacuations.held.misses_change(status.evacuation_version)
         return has_evacuation or status.config_version > self.version
 
     def _fetch(self, status):
--- a/packages/relay/src/camphorshelf_relay/evacuations.py
+++ b/packages/relay/src/camphorshelf_relay/evacuations.py
@@ -37,7 +37,7 @@
         :param version: the store's version for which they hold.
         :return: None.
         """
-        self.take(self._held.renew(domains, version), Reach.ALL)
+        self.take(self._held.with_updates(domains, version), Reach.ALL)
 
     def take(self, evacuations, reach):
         """Take in what another node knows, unless this one knows of a later version.
