--- /dev/null
+++ b/packages/core/src/camphorshelf_core/hostdatagrams.py
@@ -0,0 +1,289 @@
+"""The datagrams between hosts: statuses, probes, announcements and addresses.
+
+A status has a full and a short form. Most of a full status are names that rarely change. The short
+form has only the numbers that change often. A receiver that doesn't hold a full status of the same
+incarnation and revision can't use it and probes for the full one.
+"""
+
+from typing import NamedTuple
+
+import cbor2
+
+from .failuredetector import Suspicion
+from .hosts import HostStatus, is_address
+
+_FULL_STATUS, _SHORT_STATUS, _STATUS_REQUEST, _GREETING, _MEMBER_UPDATES, _SUSPICION = range(6)
+_PROBE_REQUEST, _ADDRESSES_REQUEST, _ADDRESSES = range(6, 9)
+_HUNDREDTHS, _THOUSANDTHS = 100, 1000
+_SHORT_FIELD_COUNT = 14
+_MAX_CRASHES = 16
+_ADDRESSES_PER_DATAGRAM = 60
+# The numeric fields of a full status, apart from its sequence and the fields after its crashes.
+_NUMERIC_FIELDS = slice(HostStatus._fields.index("accepting"), HostStatus._fields.index("crashes"))
+
+
+class StatusRequest(NamedTuple):
+    """Probes a host for its current status.
+
+    :param incarnation: the incarnation of the host that the sender knows; empty for none.
+    :param revision: the revision of the status that the sender holds; if it is still valid, the
+        short form is enough.
+    :param is_suspected: whether the sender suspects the host of having failed.
+    """
+
+    incarnation: str
+    revision: int
+    is_suspected: bool
+
+
+class Greeting(NamedTuple):
+    """A host's status, sent to a host that it has not heard; asks for that host's status.
+
+    :param status: the :class:`~camphorshelf_core.hosts.HostStatus`.
+    """
+
+    status: HostStatus
+
+
+class MemberUpdates(NamedTuple):
+    """Announcements that members should receive at once.
+
+    :param must_forward: whether the receiver has to forward them in its failure domain.
+    :param items: a tuple of :class:`~camphorshelf_core.hosts.HostStatus` and
+        :class:`~camphorshelf_core.failuredetector.Suspicion`.
+    """
+
+    must_forward: bool
+    items: tuple
+
+
+class ProbeRequest(NamedTuple):
+    """Asks a member to probe another one.
+
+    :param address: the address of the links of the member to probe.
+    """
+
+    address: str
+
+
+class AddressesRequest(NamedTuple):
+    """Asks a member for the addresses of the hosts that it knows."""
+
+
+class Addresses(NamedTuple):
+    """Addresses of hosts that a member knows.
+
+    :param total: how many hosts the member knows.
+    :param addresses: the addresses of their links, as many as a datagram holds.
+    """
+
+    total: int
+    addresses: tuple
+
+
+class UnresolvedShortStatus(NamedTuple):
+    """A received short status for which no matching full status is held."""
+
+
+def encode(message):
+    """Encode a message as a datagram.
+
+    :param message: a :class:`~camphorshelf_core.hosts.HostStatus`, which is encoded in its full
+        form, or another message of this module.
+    :return: the datagram's bytes.
+    """
+    return cbor2.dumps(_to_fields(message))
+
+
+def encode_short_status(status):
+    """Encode the short form of a status as a datagram.
+
+    :param status: the :class:`~camphorshelf_core.hosts.HostStatus`.
+    :return: the datagram's bytes.
+    """
+    return cbor2.dumps(
+        (
+            _SHORT_STATUS,
+            status.incarnation,
+            status.sequence,
+            status.revision,
+            status.accepting,
+            status.limit,
+            status.running,
+            status.queued,
+            round(status.slowness * _HUNDREDTHS),
+            round(status.work_s * _THOUSANDTHS),
+            round(status.failure_ratio * _THOUSANDTHS),
+            status.config_version,
+            status.lacks_store_access,
+            round(status.start_wait_s * _THOUSANDTHS),
+            status.evacuation_version,
+        )
+    )
+
+
+def is_short_form_sufficient(status, other):
+    """Tell whether the short form carries all that has changed between two statuses.
+
+    :param status: a :class:`~camphorshelf_core.hosts.HostStatus`.
+    :param other: an earlier status of the same host.
+    :return: True or False.
+    """
+    return _full_form_fields(status) == _full_form_fields(other)
+
+
+def decode(data, find_status):
+    """Decode a datagram.
+
+    :param data: the datagram's bytes.
+    :param find_status: takes an incarnation and returns the last status held of it, or None.
+    :return: a :class:`~camphorshelf_core.hosts.HostStatus` or another message of this module; None
+        when the bytes are neither.
+    """
+    try:
+        kind, *fields = cbor2.loads(data)
+        if kind == _SHORT_STATUS and len(fields) == _SHORT_FIELD_COUNT and _are_numbers(fields[1:]):
+            return _complete_short_status(find_status(fields[0]), fields)
+        if kind == _MEMBER_UPDATES and len(fields) == 2:
+            return _parse_member_updates(*fields)
+        return _from_fields(kind, fields)
+    except (cbor2.CBORDecodeError, TypeError, ValueError):
+        return None
+
+
+def _to_fields(message):
+    if isinstance(message, HostStatus):
+        return (_FULL_STATUS, *message)
+    if isinstance(message, Greeting):
+        return (_GREETING, *message.status)
+    if isinstance(message, MemberUpdates):
+        return (_MEMBER_UPDATES, message.must_forward, [_to_fields(item) for item in message.items])
+    return (_KINDS[type(message)], *message)
+
+
+def _parse_member_updates(must_forward, entries):
+    items = [_from_fields(entry[0], entry[1:]) for entry in entries]
+    if not all(isinstance(item, HostStatus | Suspicion) for item in items):
+        return None
+    return MemberUpdates(bool(must_forward), tuple(items))
+
+
+def _from_fields(kind, fields):
+    if kind in (_FULL_STATUS, _GREETING):
+        status = _validate_status(HostStatus(*fields))
+        return Greeting(status) if status is not None and kind == _GREETING else status
+    parse = _PARSERS.get(kind)
+    return parse(*fields) if parse is not None else None
+
+
+def _parse_status_request(incarnation, revision, is_suspected):
+    if isinstance(incarnation, str) and isinstance(revision, int):
+        return StatusRequest(incarnation, revision, bool(is_suspected))
+    return None
+
+
+def _parse_suspicion(address, incarnation):
+    if is_address(address) and isinstance(incarnation, str):
+        return Suspicion(address, incarnation)
+    return None
+
+
+def _parse_probe_request(address):
+    return ProbeRequest(address) if is_address(address) else None
+
+
+def _parse_addresses(total, addresses):
+    if isinstance(total, int) and all(map(is_address, addresses)):
+        return Addresses(total, tuple(addresses))
+    return None
+
+
+def split_addresses(known):
+    """Split the addresses of all known hosts into messages that fit into a datagram each.
+
+    :param known: a list of the addresses of the hosts' links.
+    :return: a list of :class:`Addresses`.
+    """
+    return [
+        Addresses(len(known), tuple(known[first : first + _ADDRESSES_PER_DATAGRAM]))
+        for first in range(0, len(known), _ADDRESSES_PER_DATAGRAM)
+    ]
+
+
+def _complete_short_status(held, fields):
+    _, sequence, revision, accepting, limit, running, queued, *rest = fields
+    slowness, work, failures, version, lacks_store_access, start_wait, evacuation_version = rest
+    if held is None or held.revision != revision:
+        return UnresolvedShortStatus()
+    return held._replace(
+        sequence=sequence,
+        accepting=bool(accepting),
+        limit=limit,
+        running=running,
+        queued=queued,
+        slowness=slowness / _HUNDREDTHS,
+        work_s=work / _THOUSANDTHS,
+        failure_ratio=failures / _THOUSANDTHS,
+        config_version=version,
+        lacks_store_access=bool(lacks_store_access),
+        start_wait_s=start_wait / _THOUSANDTHS,
+        evacuation_version=evacuation_version,
+    )
+
+
+def _full_form_fields(status):
+    return (
+        status.instance,
+        status.service,
+        status.crashes,
+        status.warming_s > 0,
+        status.push_interval_s,
+    )
+
+
+def _validate_status(status):
+    texts = status.host, status.incarnation, status.domain, status.address, status.service
+    if not all(isinstance(text, str) for text in (*texts, status.instance)):
+        return None
+    numbers = (
+        *status[_NUMERIC_FIELDS],
+        status.sequence,
+        status.start_wait_s,
+        status.evacuation_version,
+    )
+    if not _are_numbers(numbers):
+        return None
+    if len(status.crashes) > _MAX_CRASHES or not all(map(_is_crash_count, status.crashes)):
+        return None
+    if not is_address(status.address):
+        return None
+    return status._replace(crashes=tuple((name, count) for name, count in status.crashes))
+
+
+def _are_numbers(values):
+    return all(isinstance(value, int | float) for value in values)
+
+
+def _is_crash_count(value):
+    return (
+        isinstance(value, list | tuple)
+        and len(value) == 2
+        and isinstance(value[0], str)
+        and isinstance(value[1], int)
+    )
+
+
+_KINDS = {
+    StatusRequest: _STATUS_REQUEST,
+    Suspicion: _SUSPICION,
+    ProbeRequest: _PROBE_REQUEST,
+    AddressesRequest: _ADDRESSES_REQUEST,
+    Addresses: _ADDRESSES,
+}
+_PARSERS = {
+    _STATUS_REQUEST: _parse_status_request,
+    _SUSPICION: _parse_suspicion,
+    _PROBE_REQUEST: _parse_probe_request,
+    _ADDRESSES_REQUEST: AddressesRequest,
+    _ADDRESSES: _parse_addresses,
+}
--- a/packages/node/src/camphorshelf_node/claims.py
+++ b/packages/node/src/camphorshelf_node/claims.py
@@ -14,11 +14,11 @@
     WriteClaim,
 )
 from camphorshelf_core.claimrecords import ClaimKey, OwnerReply, OwnerState
-from camphorshelf_core.claims import ClaimBook
+from camphorshelf_core.claims import ClaimTracker
 from camphorshelf_core.errors import Code, Ran, Refusal
 from camphorshelf_core.messages import (
-    ClaimAskMessage,
-    ClaimWordMessage,
+    ClaimStatusMessage,
+    ClaimStatusRequestMessage,
     pack_result,
     unpack_result,
 )
@@ -49,7 +49,7 @@
         owner = (settings.name, settings.listen.peers)
         next_attempt = dispatcher.next_attempt
         self._incarnation = next_attempt().incarnation
-        self._book = ClaimBook(settings.claims, owner, next_attempt, random, invariants)
+        self._book = ClaimTracker(settings.claims, owner, next_attempt, random, invariants)
         self._writer = ClaimWriter(loop, settings.claims, platform, self._book.next_mark)
         self._tokens = itertools.count(1)
         self._waiting = {}
@@ -102,7 +102,7 @@
             return
         token = next(self._tokens)
         key = ClaimKey(message.service, message.key)
-        word = self._book.ask(key, message.attempt, token, self._loop.now())
+        word = self._book.query_attempt(key, message.attempt, token, self._loop.now())
         if word is not None:
             reply(_word(word))
             return
@@ -116,7 +116,7 @@
 
         def give_up():
             give(OwnerReply(OwnerState.RUNNING))
-            self._carry_out(key, self._book.leave_ask(key, message.attempt, token))
+            self._carry_out(key, self._book.cancel_query(key, message.attempt, token))
 
         timer = self._loop.call_later(message.wait_ms / 1000, give_up)
 
@@ -173,11 +173,13 @@
             done(None)
 
         timer = self._loop.call_later(wait + _LINK_SECONDS, give_up)
-        message = ClaimAskMessage(0, key.service, key.key, record.attempt, int(wait * 1000))
+        message = ClaimStatusRequestMessage(
+            0, key.service, key.key, record.attempt, int(wait * 1000)
+        )
         cancel = self._dispatcher.link(record.address).call(message, done)
 
     def _heed(self, answer, record):
-        if isinstance(answer, ClaimWordMessage):
+        if isinstance(answer, ClaimStatusMessage):
             result = unpack_result(answer.answer, answer.refusal)
             return OwnerReply(OwnerState(answer.state), result)
         # Nobody answered. Only a newer record of the node proves that this incarnation is no
@@ -218,7 +220,7 @@
         exchange = self._waiting.pop(token, None)
         if exchange is not None:
             exchange.timer.cancel()
-            self._carry_out(key, self._book.leave(key, token))
+            self._carry_out(key, self._book.remove_waiter(key, token))
 
     def _on_deadline(self, key, token):
         exchange = self._waiting.get(token)
@@ -283,4 +285,4 @@
 
 
 def _word(reply):
-    return ClaimWordMessage(0, reply.state.value, *pack_result(reply.result))
+    return ClaimStatusMessage(0, reply.state.value, *pack_result(reply.result))
--- a/packages/node/src/camphorshelf_node/node.py
+++ b/packages/node/src/camphorshelf_node/node.py
@@ -7,17 +7,17 @@
 
 from circuits import Component, handler
 
-from camphorshelf_core.attempts import AttemptLedger
+from camphorshelf_core.attempts import AttemptRegistry
 from camphorshelf_core.invariants import Invariants
 from camphorshelf_core.messages import (
     CallMessage,
-    ClaimAskMessage,
-    MintMessage,
+    ClaimStatusRequestMessage,
     SnapshotRequestMessage,
+    TicketsRequestMessage,
     VersionRequestMessage,
 )
 from camphorshelf_core.settings import split_address
-from camphorshelf_core.tickets import TicketBook
+from camphorshelf_core.tickets import TicketStore
 
 from .admin import AdminServer
 from .claims import Claims, keyed_filter
@@ -99,8 +99,8 @@
         )
         self._gatekeeper.on_leaving = self._leavers.publish_own
         self._invariants = Invariants()
-        self._once = OnceGuard(self._loop, self._gatekeeper, AttemptLedger(), self._invariants)
-        self._tickets = TicketBook(
+        self._once = OnceGuard(self._loop, self._gatekeeper, AttemptRegistry(), self._invariants)
+        self._tickets = TicketStore(
             settings.claims,
             settings.name,
             self.incarnation,
@@ -115,7 +115,7 @@
                 self._configuration,
             ),
             VersionRequestMessage: self._configuration.answer_peer,
-            MintMessage: self._desk.answer_mint,
+            TicketsRequestMessage: self._desk.answer_mint,
             SnapshotRequestMessage: self._join.answer_snapshot,
         }
         self._stopping = False
@@ -163,7 +163,7 @@
             self._desk,
             random.Random(self.incarnation),
         )
-        self._peer_handlers[ClaimAskMessage] = self._claims.answer_ask
+        self._peer_handlers[ClaimStatusRequestMessage] = self._claims.answer_ask
         filters = (
             make_call_id_filter(self.incarnation),
             keyed_filter,
--- a/packages/node/src/camphorshelf_node/platform.py
+++ b/packages/node/src/camphorshelf_node/platform.py
@@ -8,9 +8,9 @@
 
 from camphorshelf_core.budget import TokenBucket
 from camphorshelf_core.calls import Request, header
-from camphorshelf_core.circuit import Circuit
+from camphorshelf_core.circuit import CircuitBreaker
 from camphorshelf_core.settings import split_address
-from camphorshelf_core.table import Outage, WriteOutcome
+from camphorshelf_core.table import ReadFailure, WriteOutcome
 
 from .httpclient import Failed, HttpClient
 from .rows import (
@@ -39,7 +39,7 @@
         self._loop = loop
         self._settings = settings
         self._timeout = settings.timeout_ms / 1000
-        self._circuit = Circuit(random.Random())
+        self._circuit = CircuitBreaker(random.Random())
         rate = settings.requests_per_second
         self._budget = TokenBucket(rate, rate, loop.now())
         self._table = self._make_client(settings.table)
@@ -194,11 +194,11 @@
 
         def done(result):
             if isinstance(result, Failed):
-                on_done(Failure(Outage(result.reason)))
+                on_done(Failure(ReadFailure(result.reason)))
             elif result.status in (200, 404):
                 on_done(Success(result.body if result.status == 200 else None))
             else:
-                on_done(Failure(Outage(f"the object store answered {result.status}")))
+                on_done(Failure(ReadFailure(f"the object store answered {result.status}")))
 
         self._send(self._objects, request, done)
 
@@ -251,9 +251,9 @@
     def _note(self, result):
         now = self._loop.now()
         if isinstance(result, Failed) or result.status >= 500:
-            self._circuit.note_failure(now)
+            self._circuit.record_failure(now)
             return
-        self._circuit.note_success()
+        self._circuit.record_success()
         date = header(result.headers, b"date")
         if date is not None:
             self._date = date.decode("latin-1"), now
--- a/tests/features/steps/claims_model_steps.py
+++ b/tests/features/steps/claims_model_steps.py
@@ -6,9 +6,9 @@
 
 from camphorshelf_core.calls import AttemptId, Response
 from camphorshelf_core.claimrecords import ClaimKey, ClaimRecord, RecordState, pack_record
-from camphorshelf_core.claims import ClaimBook, Waiter
+from camphorshelf_core.claims import ClaimTracker, Waiter
 from camphorshelf_core.errors import Ran
-from camphorshelf_core.table import Outage, Row, WriteOutcome, Written
+from camphorshelf_core.table import ReadFailure, Row, WriteOutcome, WriteResult
 from models.claims import make_model
 from soak import claims_mutants
 from soak.claims import ClaimsMachine
@@ -82,13 +82,14 @@
 @when("a waiter joins a takeover that another node has won and run")
 def join_takeover(context):
     context.told = {
-        book_class: _join_late(book_class) for book_class in (ClaimBook, claims_mutants.KeepProof)
+        book_class: _join_late(book_class)
+        for book_class in (ClaimTracker, claims_mutants.KeepProof)
     }
 
 
 @then("the waiter is told OUTCOME_UNKNOWN, and NOT_RUN if the safeguard is left out")
 def check_told(context):
-    assert context.told[ClaimBook] is Ran.OUTCOME_UNKNOWN, context.told
+    assert context.told[ClaimTracker] is Ran.OUTCOME_UNKNOWN, context.told
     assert context.told[claims_mutants.KeepProof] is Ran.NOT_RUN, context.told
 
 
@@ -96,14 +97,14 @@
     book = Process(None, "a", "a1", book_class).book
     (write,) = book.submit(_KEY, b"d", Waiter("first"), 0.0)
     void = ClaimRecord(AttemptId("b1", 1), "b", "b", b"d", RecordState.VOIDED)
-    lost = Written(WriteOutcome.LOST, Row(pack_record(void), 7))
+    lost = WriteResult(WriteOutcome.LOST, Row(pack_record(void), 7))
     (takeover,) = book.on_written(_KEY, write.record.attempt, lost)
     assert takeover.expected == 7
     # Here another node takes the void claim over, runs it and answers its caller.
     assert book.submit(_KEY, b"d", Waiter("late"), 0.0) == []
     attempt = takeover.record.attempt
-    book.on_written(_KEY, attempt, Written(WriteOutcome.UNKNOWN))
-    settled = book.on_read(_KEY, attempt, Failure(Outage("lost")))
+    book.on_written(_KEY, attempt, WriteResult(WriteOutcome.UNKNOWN))
+    settled = book.on_read(_KEY, attempt, Failure(ReadFailure("lost")))
     (result,) = [one.result for one in settled if getattr(one, "token", None) == "late"]
     assert not isinstance(result, Response)
     return result.ran
@@ -113,13 +114,13 @@
 def send_to_another(context):
     context.runs = {
         book_class: _run_after_death(book_class)
-        for book_class in (ClaimBook, claims_mutants.TakeOverOpen)
+        for book_class in (ClaimTracker, claims_mutants.TakeOverOpen)
     }
 
 
 @then("the call has run once, and twice if the safeguard is left out")
 def check_run_once(context):
-    assert context.runs == {ClaimBook: 1, claims_mutants.TakeOverOpen: 2}, context.runs
+    assert context.runs == {ClaimTracker: 1, claims_mutants.TakeOverOpen: 2}, context.runs
 
 
 def _run_after_death(book_class):
--- a/tests/features/steps/entry_parts_steps.py
+++ b/tests/features/steps/entry_parts_steps.py
@@ -9,21 +9,21 @@
 
 from camphorshelf_core.calls import Response, is_idempotent
 from camphorshelf_core.errors import Code, Ran, Refusal
-from camphorshelf_core.health import Health
+from camphorshelf_core.health import OutlierDetector
 from camphorshelf_core.load import LoadReport, LoadView
 from camphorshelf_core.ramp import ShiftingWeight
 from camphorshelf_core.retry import (
     RETRIES_LEFT_HEADER,
+    RetryContext,
     ShareBudget,
-    Tried,
-    blames_target,
-    judge,
-    left_after,
+    decide_retry,
+    is_target_fault,
     read_retries_left,
+    retries_left_after,
 )
 from camphorshelf_core.roster import Member, MemberState
 from camphorshelf_core.routing import Candidate
-from camphorshelf_core.sensing import PROBE_BYTES, PROBE_MICROSECONDS, Sensing
+from camphorshelf_core.sensing import PROBE_BYTES, PROBE_MICROSECONDS, ProbeScheduler
 from camphorshelf_core.settings import SensingSettings
 from camphorshelf_core.subset import choose_subset, subset_size
 from standins.patterns import PATTERNS
@@ -53,14 +53,16 @@
     left = read_retries_left(headers) if token else 1
     budget = ShareBudget(_ROOMY_SHARE)
     for _ in range(3):
-        budget.note_fresh()
+        budget.record_call()
     while True:
         if len(calls) > 200:
             return Response(503, (), b"")
         passed = ((RETRIES_LEFT_HEADER, b"%d" % left),) if token else ()
         result = _descend(level - 1, passed, calls, token)
-        if not judge(result, Tried(True, left, 1e9, 1.0), budget).retry:
-            marks = ((RETRIES_LEFT_HEADER, b"%d" % left_after(result, left)),) if token else ()
+        if not decide_retry(result, RetryContext(True, left, 1e9, 1.0), budget).retry:
+            marks = (
+                ((RETRIES_LEFT_HEADER, b"%d" % retries_left_after(result, left)),) if token else ()
+            )
             return Response(503, marks, b"")
         left -= 1
 
@@ -89,8 +91,8 @@
     budget = ShareBudget(share)
     context.retried = 0
     for _ in range(count):
-        budget.note_fresh()
-        verdict = judge(Response(503, (), b""), Tried(True, 1, 1e9, 1.0), budget)
+        budget.record_call()
+        verdict = decide_retry(Response(503, (), b""), RetryContext(True, 1, 1e9, 1.0), budget)
         context.retried += verdict.retry
 
 
@@ -101,14 +103,14 @@
 
 @when("{method:w} ends with {result}")
 def end_call(context, method, result):
-    tried = Tried(is_idempotent(method), 1, 1e9, 1.0)
-    context.verdict = judge(_result(result), tried, ShareBudget(_ROOMY_SHARE))
+    tried = RetryContext(is_idempotent(method), 1, 1e9, 1.0)
+    context.verdict = decide_retry(_result(result), tried, ShareBudget(_ROOMY_SHARE))
 
 
 @when("GET fails with {left:g} ms left where an answer takes {needed:g} ms")
 def fail_late(context, left, needed):
-    tried = Tried(True, 1, left, needed)
-    context.verdict = judge(Response(503, (), b""), tried, ShareBudget(_ROOMY_SHARE))
+    tried = RetryContext(True, 1, left, needed)
+    context.verdict = decide_retry(Response(503, (), b""), tried, ShareBudget(_ROOMY_SHARE))
 
 
 @then("it is tried again")
@@ -162,10 +164,10 @@
 
 
 def _health(answers=20):
-    health = Health(random.Random(7))
+    health = OutlierDetector(random.Random(7))
     for name in _TARGETS:
         for turn in range(answers):
-            health.note(name, False, _TARGETS, turn * 0.01)
+            health.record(name, False, _TARGETS, turn * 0.01)
     return health
 
 
@@ -173,7 +175,7 @@
 def fail_three_times(context):
     context.health = _health()
     context.now = 10.0
-    verdicts = [context.health.note("t0", True, _TARGETS, context.now) for _ in range(3)]
+    verdicts = [context.health.record("t0", True, _TARGETS, context.now) for _ in range(3)]
     assert verdicts == [False, False, True], verdicts
 
 
@@ -192,7 +194,7 @@
 
 @then("one more failure ejects it for {least:g} to {most:g} seconds")
 def check_ejected_longer(context, least, most):
-    assert context.health.note("t0", True, _TARGETS, context.now)
+    assert context.health.record("t0", True, _TARGETS, context.now)
     check_ejected(context, least, most)
 
 
@@ -201,14 +203,14 @@
     context.health = _health()
     for turn, name in enumerate(_TARGETS[:5]):
         for _ in range(4):
-            context.health.note(name, True, _TARGETS, 10.0 + turn * 0.01)
+            context.health.record(name, True, _TARGETS, 10.0 + turn * 0.01)
 
 
 @when("all six targets fail by turns")
 def fail_all(context):
     context.health = _health()
     for turn in range(60):
-        context.health.note(_TARGETS[turn % 6], True, _TARGETS, 10.0 + turn * 0.001)
+        context.health.record(_TARGETS[turn % 6], True, _TARGETS, 10.0 + turn * 0.001)
 
 
 @then("{count:d} of them are ejected")
@@ -219,7 +221,7 @@
 
 @when("a target gives {result}")
 def give_result(context, result):
-    context.blames = blames_target(_result(result))
+    context.blames = is_target_fault(_result(result))
 
 
 @then("it does speak against it")
@@ -235,8 +237,8 @@
 @when("a report of {count:d} calls arrives and then one made {earlier:d} ms earlier that says 0")
 def arrive_late(context, count, earlier):
     context.view = LoadView()
-    context.view.note_report(LoadReport(count, 0, 10, 5.0, at_ms=50_000), 100.0)
-    context.view.note_report(LoadReport(0, 0, 10, 5.0, at_ms=50_000 - earlier), 100.1)
+    context.view.record_report(LoadReport(count, 0, 10, 5.0, at_ms=50_000), 100.0)
+    context.view.record_report(LoadReport(0, 0, 10, 5.0, at_ms=50_000 - earlier), 100.1)
 
 
 @then("the view still says {count:d}")
@@ -247,19 +249,19 @@
 @when("a first report arrives in 1 ms and a second one is {delay:d} ms on its way")
 def arrive_delayed(context, delay):
     context.view = LoadView()
-    context.view.note_report(LoadReport(1, 0, 10, 5.0, at_ms=50_000), 100.001)
-    context.view.note_report(LoadReport(1, 0, 10, 5.0, at_ms=51_000), 101.0 + delay / 1000)
+    context.view.record_report(LoadReport(1, 0, 10, 5.0, at_ms=50_000), 100.001)
+    context.view.record_report(LoadReport(1, 0, 10, 5.0, at_ms=51_000), 101.0 + delay / 1000)
 
 
 @then("the second one's age is about {age:d} ms")
 def check_age(context, age):
-    assert abs(context.view.age(101.4) * 1000 - age) < 2, context.view.age(101.4)
+    assert abs(context.view.report_age(101.4) * 1000 - age) < 2, context.view.report_age(101.4)
 
 
 @when("the weight of a target goes from 1 to 0 in the configuration")
 def change_weight(context):
     context.weight = ShiftingWeight(1.0, 100.0)
-    context.weight.want(0.0, 100.0)
+    context.weight.move_to(0.0, 100.0)
 
 
 @then("its weight is {half:g} after 2 seconds and {end:g} after 4 seconds")
@@ -330,18 +332,18 @@
 
 
 def _run_probes(events):
-    sensing = Sensing(_SETTINGS, random.Random(3), 100.0)
+    sensing = ProbeScheduler(_SETTINGS, random.Random(3), 100.0)
     now = 100.0
     numbers = []
     for kind, pause in events:
         now += pause
         if kind == "call":
-            probe = sensing.plan(_CANDIDATES, now)
+            probe = sensing.next_probe(_CANDIDATES, now)
             numbers += [probe.number] if probe else []
         elif kind == "asked":
             sensing.may_answer(now)
         elif numbers:
-            sensing.take_answer(numbers.pop())
+            sensing.match_answer(numbers.pop())
         spent = (sensing.sent + sensing.answered) * PROBE_BYTES
         assert spent <= 960 + 960 * (now - 100.0) + 1
         work = (sensing.sent + sensing.answered) * PROBE_MICROSECONDS
@@ -363,7 +365,7 @@
     bucket = "camphorshelf_core.sensing.TokenBucket.available"
     with mock.patch(bucket, lambda self, now: float("inf")):
         try:
-            sensing = Sensing(_SETTINGS, random.Random(3), 100.0)
+            sensing = ProbeScheduler(_SETTINGS, random.Random(3), 100.0)
             for _ in range(300):
                 sensing.may_answer(100.0)
         except AssertionError as error:
--- a/tests/features/steps/evacuation_steps.py
+++ b/tests/features/steps/evacuation_steps.py
@@ -14,18 +14,18 @@
 from camphorshelf_core.jobs import LatePolicy
 from camphorshelf_core.messages import (
     ConfigReplyMessage,
-    DeclinedMessage,
-    RelayedMessage,
+    RelayAnswerMessage,
     RelayMessage,
+    RelayRefusedMessage,
     decode,
     encode,
 )
-from camphorshelf_core.routes import ServiceTerms
-from camphorshelf_platform.headers import DIALECT
-from camphorshelf_relay import targetlink
-from camphorshelf_relay.configkeeper import ConfigKeeper
-from camphorshelf_relay.crashes import CrashWatch
-from camphorshelf_relay.gate import Gate
+from camphorshelf_core.routes import ServiceSettings
+from camphorshelf_platform.headers import HEADER_CODEC
+from camphorshelf_relay import targetpool
+from camphorshelf_relay.admissioncontroller import AdmissionController
+from camphorshelf_relay.configsync import ConfigSynchronizer
+from camphorshelf_relay.crashes import CrashTracker
 from camphorshelf_relay.router import Router
 from camphorshelf_relay.storeport import StoredRow, StoreRows
 from camphorshelf_relay.target import Target
@@ -52,12 +52,14 @@
     def link(self, address):
         return SimpleNamespace(call=lambda message, on_done: self.calls.append((message, on_done)))
 
-    def tell(self):
+    def announce_changes(self):
         """Nobody is there."""
 
 
 def _make_keeper():
-    keeper = ConfigKeeper(FakeLoop(), SETTINGS, None, _Peers(), READERS, random.Random(1), _Log())
+    keeper = ConfigSynchronizer(
+        FakeLoop(), SETTINGS, None, _Peers(), READERS, random.Random(1), _Log()
+    )
     keeper.table_name, keeper.row_key = "op", "config"
     return keeper
 
@@ -68,7 +70,7 @@
 
 
 def _known(keeper):
-    return sorted(keeper.evacuations.held.domains)
+    return sorted(keeper.evacuations.current.domains)
 
 
 @given('a node in failure domain "{domain}"')
@@ -115,7 +117,7 @@
 
 @then("it tells others of version {version:d}")
 def check_told(context, version):
-    assert context.keeper.evacuations.held.changed_at == version
+    assert context.keeper.evacuations.current.changed_at == version
 
 
 @given(
@@ -147,10 +149,10 @@
 @when("the node hears the other one's status")
 def hear_other(context):
     keeper, other = context.keeper, context.other
-    version = other.evacuations.held.changed_at
+    version = other.evacuations.current.changed_at
     status = make_status("h2", config_version=0, evacuation_version=version)
-    keeper._peers.directory.take(status, keeper._loop.now())
-    keeper.hear(keeper._peers.directory.view("h2"))
+    keeper._peers.directory.apply_status(status, keeper._loop.now())
+    keeper.on_peer_status(keeper._peers.directory.view("h2"))
 
 
 @then("it fetches what the other one knows")
@@ -171,7 +173,7 @@
     other = _make_keeper()
     _show(other, 10, [domain])
     document = make_document(7, {"/a/": {"service": "counter", "timeout_s": 1.0}})
-    other._take_rows((StoredRow("config", _dump(document)),))
+    other._apply_rows((StoredRow("config", _dump(document)),))
     keeper, context.known = context.keeper, []
     keeper.on_change(lambda config: context.known.append(_known(keeper)))
     answers = []
@@ -204,17 +206,19 @@
 def _make_gate(context, opening_s=0.001):
     loop = context.loop = FakeLoop()
     context.streams = _Streams(loop, opening_s)
-    patch = mock.patch.object(targetlink, "dial", context.streams.dial)
+    patch = mock.patch.object(targetpool, "dial", context.streams.dial)
     patch.start()
     context.add_cleanup(patch.stop)
     admission = AdmissionQueue()
-    context.target = Target(loop, SETTINGS, DIALECT, admission, _Log())
-    crashes = CrashWatch(loop, "a", _Log())
-    context.gate = Gate(loop, SETTINGS, DIALECT, admission, context.target, crashes, _Log())
+    context.target = Target(loop, SETTINGS, HEADER_CODEC, admission, _Log())
+    crashes = CrashTracker(loop, "a", _Log())
+    context.gate = AdmissionController(
+        loop, SETTINGS, HEADER_CODEC, admission, context.target, crashes, _Log()
+    )
     # Without a health path it is not probed, so that only requests open connections.
-    context.target.configure(ServiceTerms(""))
+    context.target.configure(ServiceSettings(""))
     context.target._probe.configure(None, may_be_cold=False)
-    context.target.beat(Heartbeat("i-1", 1, 1, "counter", "127.0.0.1:1", 9, False, 0.0))
+    context.target.handle_heartbeat(Heartbeat("i-1", 1, 1, "counter", "127.0.0.1:1", 9, False, 0.0))
     context.answers = []
 
 
@@ -226,7 +230,7 @@
         idempotent=True,
         priority=1,
         objective_s=1.0,
-        left_s=left_s,
+        remaining_s=left_s,
         work_s=0.1,
         late_policy=int(LatePolicy.REJECT),
         request_id=name,
@@ -236,7 +240,7 @@
         headers=(),
         body=b"",
     )
-    context.gate.run(message, lambda answer: context.answers.append((name, answer)))
+    context.gate.submit(message, lambda answer: context.answers.append((name, answer)))
     context.loop.advance(0.01)
 
 
@@ -274,12 +278,12 @@
 
 @when("its failure domain is evacuated")
 def evacuate(context):
-    context.target.evacuate(True)
+    context.target.set_evacuated(True)
 
 
 @when("the evacuation is taken back")
 def take_back(context):
-    context.target.evacuate(False)
+    context.target.set_evacuated(False)
 
 
 @when("the target's connections have had {seconds:f} s")
@@ -292,7 +296,7 @@
     assert not context.target.accepting
     _let_in(context, "offered")
     name, answer = context.answers[-1]
-    assert name == "offered" and isinstance(answer, DeclinedMessage)
+    assert name == "offered" and isinstance(answer, RelayRefusedMessage)
     assert answer.ran == Ran.NOT_RUN.value
 
 
@@ -301,7 +305,7 @@
     for number, stream in enumerate(_sent(context)):
         _answer(stream, f"run-{number}")
     context.loop.advance(0.01)
-    relayed = [answer for _, answer in context.answers if isinstance(answer, RelayedMessage)]
+    relayed = [answer for _, answer in context.answers if isinstance(answer, RelayAnswerMessage)]
     assert len(relayed) == count, context.answers
 
 
@@ -319,7 +323,7 @@
 
 @then("the queued requests were declined as not run and none of them was sent")
 def check_queue_declined(context):
-    declined = {name for name, answer in context.answers if isinstance(answer, DeclinedMessage)}
+    declined = {name for name, answer in context.answers if isinstance(answer, RelayRefusedMessage)}
     assert declined == {f"queued-{number}" for number in range(context.queued)}, declined
     _check_never_sent(context, "queued")
 
@@ -327,13 +331,13 @@
 @then("the request was declined as not run and never sent")
 def check_late_declined(context):
     ((name, answer),) = context.answers
-    assert isinstance(answer, DeclinedMessage) and answer.ran == Ran.NOT_RUN.value
+    assert isinstance(answer, RelayRefusedMessage) and answer.ran == Ran.NOT_RUN.value
     _check_never_sent(context, name)
 
 
 @when("its node ends within {seconds:f} s")
 def end_node(context, seconds):
-    context.gate.end_work_by(context.loop.now() + seconds)
+    context.gate.set_shutdown_time(context.loop.now() + seconds)
 
 
 @then("a request whose caller waits for {seconds:f} s is let in")
@@ -358,12 +362,12 @@
     for domain in (first, second):
         for number in range(3):
             status = make_status(f"{domain}:{number}", domain=domain)
-            peers.directory.take(status, loop.now())
+            peers.directory.apply_status(status, loop.now())
     settings = SETTINGS._replace(service="desk")
     context.router = Router(
-        loop, settings, DIALECT, context.keeper, peers, None, None, random.Random(1), _Log()
+        loop, settings, HEADER_CODEC, context.keeper, peers, None, None, random.Random(1), _Log()
     )
-    assert len(context.router.views("counter")) == 6
+    assert len(context.router.list_targets("counter")) == 6
 
 
 @when('the entry node knows that "{first}" and "{second}" are evacuated')
@@ -378,13 +382,13 @@
 
 @then('it chooses among the targets in "{domain}" only')
 def check_views(context, domain):
-    domains = [view.status.domain for view in context.router.views("counter")]
+    domains = [view.status.domain for view in context.router.list_targets("counter")]
     assert domains == [domain] * 3, domains
 
 
 @then("it finds no target")
 def check_no_views(context):
-    assert context.router.views("counter") == []
+    assert context.router.list_targets("counter") == []
 
 
 def _answer(stream, name):
--- a/tests/features/steps/load_probes_steps.py
+++ b/tests/features/steps/load_probes_steps.py
@@ -6,7 +6,7 @@
 
 from camphorshelf_core.directory import HostDirectory
 from camphorshelf_core.loadprobes import choose_probes, is_sufficient, put_unanswered_last
-from camphorshelf_core.placement import rank
+from camphorshelf_core.placement import rank_targets
 from camphorshelf_relay.prober import Prober
 from standins.fakes import FakeLoop
 from standins.hosts import make_status, make_view
@@ -26,7 +26,7 @@
         self.now = 0.0
         self.slowness = [self._draw() for _ in range(count)]
         self.views = [
-            make_view(make_status(f"h{one}", repeat_s=0.0), -random.random())
+            make_view(make_status(f"h{one}", push_interval_s=0.0), -random.random())
             for one in range(count)
         ]
 
@@ -46,10 +46,10 @@
         status = view.status._replace(
             sequence=view.status.sequence + 1, slowness=self.slowness[index]
         )
-        view.take(status, self.now)
+        view.apply(status, self.now)
 
     def rank(self):
-        return rank(self.views, _WORK_SECONDS, self.now, "a", _OBJECTIVE_SECONDS)
+        return rank_targets(self.views, _WORK_SECONDS, self.now, "a", _OBJECTIVE_SECONDS)
 
     def is_slow(self, address):
         return self.slowness[int(address[1:])] > 1.0
@@ -103,14 +103,16 @@
 @given("{count:d} hosts of one service, all idle and heard {when}")
 def idle_hosts(context, count, when):
     heard_at = 0.0 if when == "just now" else -1.0
-    views = [make_view(make_status(f"h{one}", repeat_s=0.0), heard_at) for one in range(count)]
+    views = [
+        make_view(make_status(f"h{one}", push_interval_s=0.0), heard_at) for one in range(count)
+    ]
     context.views = views
-    context.candidates = rank(views, _WORK_SECONDS, 0.0, "a", _OBJECTIVE_SECONDS)
+    context.candidates = rank_targets(views, _WORK_SECONDS, 0.0, "a", _OBJECTIVE_SECONDS)
 
 
 @when("they are ranked for work that takes no time")
 def rank_no_work(context):
-    context.candidates = rank(context.views, 0.0, 0.0, "a", 0.0)
+    context.candidates = rank_targets(context.views, 0.0, 0.0, "a", 0.0)
 
 
 @then("all {count:d} are candidates")
@@ -141,8 +143,8 @@
     context.directory = HostDirectory()
     context.names = ["h0", "h1", "h2"]
     for name in context.names:
-        context.directory.take(
-            make_status(name, slowness=4.0, repeat_s=0.0), context.loop.now() - 1.0
+        context.directory.apply_status(
+            make_status(name, slowness=4.0, push_interval_s=0.0), context.loop.now() - 1.0
         )
     context.sent = []
     context.prober = Prober(
@@ -172,8 +174,8 @@
     for name in names:
         status = context.directory.view(name).status
         changed = status._replace(sequence=status.sequence + 1, **changes)
-        context.directory.take(changed, context.loop.now())
-        context.prober.note_heard(name)
+        context.directory.apply_status(changed, context.loop.now())
+        context.prober.record_contact(name)
 
 
 @when("all three answer after {milliseconds:d} ms")
@@ -198,7 +200,7 @@
 def _ranked(context):
     now = context.loop.now()
     views = list(context.directory.views())
-    ranked = rank(views, _WORK_SECONDS, now, "a", _OBJECTIVE_SECONDS)
+    ranked = rank_targets(views, _WORK_SECONDS, now, "a", _OBJECTIVE_SECONDS)
     return [one.address for one in ranked]
 
 
--- a/tests/features/steps/placement_steps.py
+++ b/tests/features/steps/placement_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then
 
-from camphorshelf_core.placement import rank
+from camphorshelf_core.placement import rank_targets
 from standins.hosts import make_status, make_view
 
 _NOW = 100.0
@@ -29,7 +29,7 @@
 
 @given('{count:d} requests were sent to "{name}" since its last status')
 def unseen(context, count, name):
-    context.views[name].unseen = count
+    context.views[name].requests_since_status = count
 
 
 def _change(context, name, **changes):
@@ -44,7 +44,7 @@
 
 @given('"{name}" failed {share:f} of its requests')
 def failing(context, name, share):
-    _change(context, name, failing=share)
+    _change(context, name, failure_ratio=share)
 
 
 @given('"{name}" was last heard {seconds:f} s ago')
@@ -59,7 +59,7 @@
 
 def _rank(context):
     views = list(context.views.values())
-    return rank(views, context.work_s, _NOW, context.domain, context.objective_s)
+    return rank_targets(views, context.work_s, _NOW, context.domain, context.objective_s)
 
 
 def _order(context):
--- a/tests/standins/coldfleet.py
+++ b/tests/standins/coldfleet.py
@@ -12,7 +12,7 @@
 
 from camphorshelf_core.admissionqueue import AdmissionQueue
 from camphorshelf_core.jobs import Job, LatePolicy
-from camphorshelf_core.placement import rank
+from camphorshelf_core.placement import rank_targets
 from camphorshelf_core.retryafter import retry_after
 from camphorshelf_core.warmup import WarmUp, WarmUpBounds
 from standins.hosts import make_status, make_view
@@ -223,14 +223,14 @@
         for job, on_end in running.items():
             self.admission.finish(job, now)
             on_end("failed")
-        self.warm_up.note_replaced(now)
+        self.warm_up.record_replaced(now)
         self.fleet.at(self.down_until + _PROBE_SECONDS, self._tell)
 
     def _tell(self):
         now = self.fleet.now
         if now < self.down_until:
             return
-        self.warm_up.note_told(max(0.0, self.cold_until - now), now)
+        self.warm_up.record_response(max(0.0, self.cold_until - now), now)
         if self.admission.closed:
             self.admission.open(now)
         self.fleet.at(now + _WORD_SECONDS, self._tell)
@@ -315,7 +315,7 @@
         left = self._objective_at - now
         candidates = [
             one
-            for one in rank(views, kind.work_s, now, "a", left)
+            for one in rank_targets(views, kind.work_s, now, "a", left)
             if one.address not in self._tried
         ]
         in_time = [one for one in candidates if now + one.expected_s <= self._objective_at]
