--- a/packages/core/src/camphorshelf_core/__init__.py
+++ b/packages/core/src/camphorshelf_core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions, messages, result codes and protocol state machines, without I/O."""
+"""Decision logic, messages, result codes and protocol state machines, without I/O."""
--- a/packages/core/src/camphorshelf_core/answers.py
+++ b/packages/core/src/camphorshelf_core/answers.py
@@ -1,4 +1,4 @@
-"""A bounded memory of finished calls' answers, so that a resend gets the same one again."""
+"""A bounded cache of finished calls' answers, so that a repeated request gets the same answer."""
 
 from collections import OrderedDict
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class CachedAnswer(NamedTuple):
-    """A finished call: who asked what, and what came of it."""
+    """A finished call: its attempt, the request's digest, the result and the result's size."""
 
     attempt: object
     digest: bytes
@@ -19,7 +19,7 @@
 
 
 class AnswerCache:
-    """Keeps answers by key, within a count, a number of bytes and an age."""
+    """Caches answers by key; limited by number, total size and age."""
 
     def __init__(self, settings):
         self._settings = settings
@@ -32,66 +32,66 @@
 
     @property
     def bytes(self):
-        """The bytes that the kept answers take."""
+        """The total size of the cached answers in bytes."""
         return self._bytes
 
     @property
     def dropped(self):
-        """How many answers had to go before their age."""
+        """How many answers were dropped for lack of space before they expired."""
         return self._dropped
 
     def store(self, key, attempt, digest, result, now):
-        """Keep an answer, dropping the oldest ones where there is no room.
+        """Store an answer; the oldest ones are dropped if the cache is full.
 
-        :param key: what the caller names the call by.
-        :param attempt: the attempt that ran it.
-        :param digest: the request's.
+        :param key: the :class:`~camphorshelf_core.claimrecords.ClaimKey` of the call.
+        :param attempt: the attempt that ran the call.
+        :param digest: the digest of the request.
         :param result: the response or refusal.
         :param now: seconds on the monotonic clock.
         :return: None.
         """
         self.drop(key)
-        size = _size(result)
+        size = _size_bytes(result)
         self._answers[key] = CachedAnswer(attempt, digest, result, size, now)
         self._bytes += size
-        self._trim(now)
+        self._evict(now)
 
     def find(self, key, now):
-        """Find a kept answer.
+        """Find a cached answer.
 
-        :param key: the key.
+        :param key: the key of the call.
         :param now: seconds on the monotonic clock.
         :return: the :class:`CachedAnswer`, or None.
         """
-        self._trim(now)
+        self._evict(now)
         return self._answers.get(key)
 
     def drop(self, key):
-        """Forget an answer.
+        """Drop an answer.
 
-        :param key: the key.
+        :param key: the key of the call.
         :return: None.
         """
-        kept = self._answers.pop(key, None)
-        if kept is not None:
-            self._bytes -= kept.bytes
+        cached = self._answers.pop(key, None)
+        if cached is not None:
+            self._bytes -= cached.bytes
 
-    def _trim(self, now):
+    def _evict(self, now):
         settings = self._settings
-        oldest_allowed = now - settings.answer_age_ms / 1000
+        expired_before = now - settings.answer_age_ms / 1000
         while self._answers:
-            key, kept = next(iter(self._answers.items()))
+            key, cached = next(iter(self._answers.items()))
             is_full = (
                 len(self._answers) > settings.kept_answers
                 or self._bytes > settings.kept_answer_bytes
             )
-            if not is_full and kept.finished_at > oldest_allowed:
+            if not is_full and cached.finished_at > expired_before:
                 return
             self._dropped += is_full
             self.drop(key)
 
 
-def _size(result):
+def _size_bytes(result):
     if isinstance(result, Response):
         headers = sum(len(name) + len(value) for name, value in result.headers)
         return _OVERHEAD_BYTES + headers + len(result.body)
--- a/packages/core/src/camphorshelf_core/attempts.py
+++ b/packages/core/src/camphorshelf_core/attempts.py
@@ -1,8 +1,8 @@
-"""Decides which attempts may still start; both ends of a call keep such a ledger.
+"""Decides which attempts may start; both nodes of a call keep such a registry.
 
-A call may be said not to have run only when its attempt was void before the answer left, and may
-start only when it is not void. Both go through this one record, so that a cancel, a deadline, a
-lost answer and a paused process cannot make both happen.
+A node may answer that a call did not run only if its attempt was voided before the answer was sent,
+and an attempt may start only if it isn't void. Both decisions use the same record, so that a
+cancel, a deadline, a lost answer or a paused process can't lead to both.
 """
 
 from collections import OrderedDict
@@ -13,7 +13,7 @@
 
 
 class AttemptState(Enum):
-    """What became of an attempt, as far as a ledger knows."""
+    """The state of an attempt in a registry."""
 
     NEW = "new"
     STARTED = "started"
@@ -22,11 +22,11 @@
 
 
 class AttemptRegistry:
-    """A bounded record of attempts that were started or voided.
+    """A bounded record of the attempts that were started or voided.
 
-    When it is full the oldest attempt is forgotten and the floor of its incarnation raised to
-    it. An attempt at or below the floor can neither start nor be called void: forgetting costs
-    a caller a clear answer, never a second run.
+    When the registry is full, the oldest attempt is forgotten and the floor of its incarnation is
+    raised to the attempt's number. An attempt at or below the floor can neither be started nor
+    reported as void: forgetting it may cost a caller its answer but never causes a second run.
     """
 
     def __init__(self, max_attempts=_MAX_ATTEMPTS, max_incarnations=_MAX_INCARNATIONS):
@@ -39,22 +39,22 @@
         return len(self._states)
 
     def state(self, attempt):
-        """Tell what became of an attempt.
+        """Look up the state of an attempt.
 
         :param attempt: the :class:`~camphorshelf_core.calls.AttemptId`.
-        :return: its :class:`AttemptState`.
+        :return: the :class:`AttemptState`.
         """
         known = self._states.get(attempt)
         if known is not None:
             return known
-        is_below = attempt.number <= self._floors.get(attempt.incarnation, 0)
-        return AttemptState.FORGOTTEN if is_below else AttemptState.NEW
+        is_forgotten = attempt.number <= self._floors.get(attempt.incarnation, 0)
+        return AttemptState.FORGOTTEN if is_forgotten else AttemptState.NEW
 
     def start(self, attempt):
-        """Start an attempt, once.
+        """Start an attempt if it is new.
 
-        :param attempt: the attempt.
-        :return: True for the only start there will be; False when it must not start.
+        :param attempt: the :class:`~camphorshelf_core.calls.AttemptId`.
+        :return: True at most once per attempt; False if the attempt must not start.
         """
         if self.state(attempt) is not AttemptState.NEW:
             return False
@@ -62,19 +62,19 @@
         return True
 
     def void(self, attempt):
-        """Make sure that an attempt never starts.
+        """Void an attempt if it is new.
 
-        :param attempt: the attempt.
-        :return: True when it did not start and never will; False when that cannot be said.
+        :param attempt: the :class:`~camphorshelf_core.calls.AttemptId`.
+        :return: True if the attempt did not start and never will; False if it may have started.
         """
         if self.state(attempt) is AttemptState.NEW:
             self._record(attempt, AttemptState.VOIDED)
         return self.state(attempt) is AttemptState.VOIDED
 
     def mark_voided(self, attempt):
-        """Void an attempt that was sent on, once the far end has said that it did not run.
+        """Void an attempt that was sent to another node and, by its answer, did not run there.
 
-        :param attempt: the attempt.
+        :param attempt: the :class:`~camphorshelf_core.calls.AttemptId`.
         :return: None.
         """
         self._record(attempt, AttemptState.VOIDED)
--- a/packages/core/src/camphorshelf_core/claimactions.py
+++ b/packages/core/src/camphorshelf_core/claimactions.py
@@ -1,4 +1,4 @@
-"""The actions that a node carries out for its claims."""
+"""The actions that a node carries out for the claims of its callers' keys."""
 
 from typing import NamedTuple
 
@@ -8,15 +8,17 @@
 
 
 class Waiter(NamedTuple):
-    """Someone who waits for a call's outcome; ``is_first`` when its sender vouches that the key
-    was never sent before."""
+    """A caller or peer that waits for a call's outcome.
+
+    ``is_first`` is True if the sender guarantees that the key was never sent before.
+    """
 
     token: object
     is_first: bool = False
 
 
 class WriteClaim(NamedTuple):
-    """Write a claim's row, if the row there is still the expected one."""
+    """Write a claim's row if the stored row has the expected version (None: if there is no row)."""
 
     key: ClaimKey
     record: ClaimRecord
@@ -32,7 +34,7 @@
 
 
 class AskOwner(NamedTuple):
-    """Ask the node named in a claim what became of its attempt."""
+    """Ask the node named in a claim for the state of its attempt."""
 
     key: ClaimKey
     attempt: AttemptId
@@ -40,14 +42,14 @@
 
 
 class RunCall(NamedTuple):
-    """Dispatch the call; its result is due at :meth:`ClaimTracker.on_result`."""
+    """Dispatch the call; its result is passed to :meth:`ClaimTracker.on_result`."""
 
     key: ClaimKey
     attempt: AttemptId
 
 
 class Settle(NamedTuple):
-    """Give a waiter its outcome; ``is_replay`` when the call finished before it asked."""
+    """Send a waiter its result; ``is_replay`` is True if the call had finished before."""
 
     token: object
     result: Response | Refusal | OwnerReply
@@ -55,7 +57,7 @@
 
 
 class MarkClaim(NamedTuple):
-    """Write a settled attempt's state to the table when there is time; nobody waits for it."""
+    """Write the state of a finished attempt to the table in the background; nobody waits for it."""
 
     key: ClaimKey
     record: ClaimRecord
--- a/packages/core/src/camphorshelf_core/claimrecords.py
+++ b/packages/core/src/camphorshelf_core/claimrecords.py
@@ -1,4 +1,4 @@
-"""A claim's row in the table, and what its owner says of it."""
+"""The row of a claim in the table, and the state of its attempt as reported by its owner."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 
 
 class ClaimKey(NamedTuple):
-    """What a caller names a call by."""
+    """Identifies a call: the service, and the key that the caller chose."""
 
     service: str
     key: str
 
 
 class RecordState(Enum):
-    """What a claim's row says of its attempt."""
+    """The state of an attempt in the claim's row."""
 
     OPEN = "open"
     VOIDED = "voided"
@@ -26,7 +26,10 @@
 
 
 class ClaimRecord(NamedTuple):
-    """A claim's row; ``answer`` is the response of a finished one, when it was small enough."""
+    """The content of a claim's row.
+
+    ``answer`` is the response of a finished call if it is small enough to be stored.
+    """
 
     attempt: AttemptId
     node: str
@@ -37,7 +40,7 @@
 
 
 class OwnerState(Enum):
-    """What is learnt from a claim's owner about its attempt."""
+    """The state of an attempt according to the claim's owner, or why it could not be asked."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -48,17 +51,17 @@
 
 
 class OwnerReply(NamedTuple):
-    """The owner's word, with the result of a finished call."""
+    """The owner's answer: the state of the attempt, and the result if the call has finished."""
 
     state: OwnerState
     result: Response | Refusal | None = None
 
 
 def pack_record(record):
-    """Turn a claim's record into bytes.
+    """Encode the record of a claim.
 
     :param record: the :class:`ClaimRecord`.
-    :return: its CBOR form.
+    :return: the record in CBOR.
     """
     answer = None if record.answer is None else tuple(record.answer)
     fields = (tuple(record.attempt), *record[1:4], record.state.value, answer)
@@ -66,11 +69,11 @@
 
 
 def unpack_record(data):
-    """Read a claim's record.
+    """Decode the record of a claim.
 
-    :param data: its CBOR form.
+    :param data: the record in CBOR.
     :return: the :class:`ClaimRecord`.
-    :raises ProtocolError: when the bytes are no record.
+    :raises ProtocolError: if the bytes aren't a valid record.
     """
     try:
         attempt, node, address, digest, state, answer = cbor2.loads(data)
@@ -79,4 +82,4 @@
             answer = Response(status, tuple((name, value) for name, value in headers), body)
         return ClaimRecord(AttemptId(*attempt), node, address, digest, RecordState(state), answer)
     except (cbor2.CBORDecodeError, TypeError, ValueError) as error:
-        raise ProtocolError(f"not a claim's record: {error}") from error
+        raise ProtocolError(f"invalid claim record: {error}") from error
--- a/packages/core/src/camphorshelf_core/claimrefusals.py
+++ b/packages/core/src/camphorshelf_core/claimrefusals.py
@@ -1,29 +1,29 @@
-"""The refusals of calls under a caller's key, each with whether the work ran."""
+"""The refusals of calls with a caller's key; each states whether the call ran."""
 
 from .claimrecords import OwnerState
 from .errors import Code, Ran, Refusal
 
-_RETRY_MS = 1_000
+_RETRY_AFTER_MS = 1_000
 
 
 def refuse_unavailable(is_known_not_run):
     """Refuse a call whose claim could not be written.
 
-    :param is_known_not_run: whether the key had surely not run when this was learnt.
+    :param is_known_not_run: whether it is certain that no call with the key had run.
     :return: the :class:`Refusal`.
     """
     if is_known_not_run:
         ran, reason = Ran.NOT_RUN, "the key could not be claimed in the platform's table"
     else:
-        # This request will never run, but an earlier send of the key may have, and with the
-        # table out of reach nobody can tell: NOT_RUN would then be false.
+        # This request will never run, but an earlier one with the same key may have run, which
+        # can't be checked without the table. NOT_RUN could therefore be wrong.
         ran = Ran.OUTCOME_UNKNOWN
         reason = "this request did not run; whether an earlier one with its key did is unknown"
-    return Refusal(Code.CLAIM_UNAVAILABLE, reason, ran, _RETRY_MS)
+    return Refusal(Code.CLAIM_UNAVAILABLE, reason, ran, _RETRY_AFTER_MS)
 
 
 def refuse_key_reused():
-    """Refuse a request whose key was used with another one.
+    """Refuse a request whose key was used for a different request.
 
     :return: the :class:`Refusal`.
     """
@@ -31,37 +31,37 @@
 
 
 def refuse_contended():
-    """Refuse a request that lost its claim to others again and again.
+    """Refuse a request that repeatedly lost its claim to other requests with the same key.
 
     :return: the :class:`Refusal`.
     """
-    reason = "other requests with the same key came in between"
-    return Refusal(Code.CLAIM_CONTENDED, reason, Ran.OUTCOME_UNKNOWN, _RETRY_MS)
+    reason = "other requests with the same key repeatedly claimed it first"
+    return Refusal(Code.CLAIM_CONTENDED, reason, Ran.OUTCOME_UNKNOWN, _RETRY_AFTER_MS)
 
 
 def refuse_not_kept():
-    """Refuse to run again what ran, without its answer.
+    """Refuse to run a call again that ran but whose answer is no longer kept.
 
     :return: the :class:`Refusal`.
     """
-    return Refusal(Code.ANSWER_NOT_KEPT, "it ran; its answer is no longer kept", Ran.RAN)
+    return Refusal(Code.ANSWER_NOT_KEPT, "the call ran; its answer is no longer kept", Ran.RAN)
 
 
 def refuse_outcome_lost():
-    """Refuse to run again what may have run.
+    """Refuse to run a call again that may have run.
 
     :return: the :class:`Refusal`.
     """
-    reason = "what became of an earlier request with this key is unknown; it is not run again"
+    reason = "the outcome of an earlier request with this key is unknown; it is not run again"
     return Refusal(Code.OUTCOME_LOST, reason, Ran.OUTCOME_UNKNOWN)
 
 
-def refuse_broken():
-    """Refuse to go on with a call whose invariants do not hold.
+def refuse_invariant_broken():
+    """Refuse to continue a call after an invariant of its claim was violated.
 
     :return: the :class:`Refusal`.
     """
-    reason = "an invariant of the claim is broken; this node does not go on with it"
+    reason = "an invariant of the claim is broken; this node does not continue the call"
     return Refusal(Code.INVARIANT_BROKEN, reason, Ran.OUTCOME_UNKNOWN)
 
 
@@ -70,7 +70,7 @@
         Code.STILL_RUNNING,
         "an earlier request with this key is still running",
         Ran.OUTCOME_UNKNOWN,
-        _RETRY_MS,
+        _RETRY_AFTER_MS,
     ),
     OwnerState.FORGOTTEN: Refusal(
         Code.ANSWER_FORGOTTEN,
@@ -86,6 +86,6 @@
         Code.OWNER_UNREACHABLE,
         "the node that took an earlier request with this key cannot be asked now",
         Ran.OUTCOME_UNKNOWN,
-        _RETRY_MS,
+        _RETRY_AFTER_MS,
     ),
 }
--- a/packages/core/src/camphorshelf_core/claims.py
+++ b/packages/core/src/camphorshelf_core/claims.py
@@ -1,10 +1,10 @@
-"""Runs a call under a caller's key at most once: the claim in the table and its owner's record.
+"""Runs a call with a caller's key at most once, by a claim in the table and its owner's record.
 
-A claim is a row inserted if absent before the call is dispatched; only the node whose write took
-effect dispatches. No lease and no clock guard it, so a paused node has nothing to believe in
-wrongly: an open claim is never taken over, only one whose owner has said, or written, that its
-attempt is void for ever. docs/design/at-most-once.md weighs the alternatives and maps each
-transition to the model.
+A claim is a row that is inserted, if there is none, before the call is dispatched; only the node
+whose write took effect dispatches the call. Claims use neither leases nor clocks, so a paused node
+can't rely on one that has expired. An open claim is taken over only after its owner has reported,
+or written to the row, that its attempt is void permanently. docs/design/at-most-once.md compares
+the alternatives and maps each transition to the model.
 """
 
 from enum import Enum
@@ -19,8 +19,8 @@
 from .claimrecords import ClaimRecord, OwnerReply, OwnerState, RecordState, unpack_record
 from .claimrefusals import (
     OWNER_REFUSALS,
-    refuse_broken,
     refuse_contended,
+    refuse_invariant_broken,
     refuse_key_reused,
     refuse_not_kept,
     refuse_outcome_lost,
@@ -40,7 +40,7 @@
 
 
 class _Claim:
-    """One key's call at this node, from its first request to its outcome."""
+    """The call for one key at this node, from its first request to its outcome."""
 
     def __init__(self, key, digest, waiter):
         self.key = key
@@ -50,25 +50,25 @@
         self.phase = None
         self.expected = None
         self.version = None
-        self.met_version = None
+        self.found_version = None
         self.may_be_written = False
         self.is_known_not_run = False
         self.takeovers = 0
 
 
 class ClaimTracker:
-    """The calls under callers' keys that this node owns or pursues.
+    """Tracks the calls with callers' keys at this node.
 
-    Each method takes one event and returns the actions that follow from it.
+    Each method that processes an event returns the actions that the node must carry out.
     """
 
     def __init__(self, settings, owner, next_attempt, random, invariants):
-        """Start empty.
+        """Create a tracker without claims.
 
         :param settings: the :class:`~camphorshelf_core.settings.ClaimSettings`.
-        :param owner: the pair of this node's name and its address for peers.
-        :param next_attempt: names a new attempt of this node at each call.
-        :param random: a ``random.Random`` for the rows' versions.
+        :param owner: a pair of this node's name and its address for peers.
+        :param next_attempt: a function that returns a new attempt id of this node.
+        :param random: a ``random.Random`` for the versions of rows.
         :param invariants: the node's :class:`~camphorshelf_core.invariants.Invariants`.
         """
         self._settings = settings
@@ -76,17 +76,17 @@
         self._next_attempt = next_attempt
         self._random = random
         self._invariants = invariants
-        self._ledger = AttemptRegistry()
+        self._registry = AttemptRegistry()
         self._answers = AnswerCache(settings)
         self._claims = {}
 
     @property
     def open_claims(self):
-        """How many calls are under way."""
+        """The number of calls in progress."""
         return len(self._claims)
 
     def is_open(self, key):
-        """Tell whether a key's call is under way here.
+        """Check whether the call for a key is in progress at this node.
 
         :param key: the claim's key.
         :return: True or False.
@@ -94,7 +94,7 @@
         return key in self._claims
 
     def is_running(self, key):
-        """Tell whether a key's call was dispatched and has no result yet.
+        """Check whether the call for a key was dispatched and has no result yet.
 
         :param key: the claim's key.
         :return: True or False.
@@ -103,39 +103,39 @@
 
     @property
     def answers(self):
-        """The memory of finished calls."""
+        """The :class:`AnswerCache` of finished calls."""
         return self._answers
 
     def submit(self, key, digest, waiter, now):
-        """Take a caller's request.
+        """Process a caller's request.
 
-        :param key: its :class:`ClaimKey`.
+        :param key: the :class:`ClaimKey` of the request.
         :param digest: the digest of the request.
         :param waiter: the :class:`Waiter`.
         :param now: seconds on the monotonic clock.
         :return: a list of actions.
         """
         claim = self._claims.get(key)
-        kept = self._answers.find(key, now) if claim is None else None
-        known = claim or kept
-        if known is not None and known.digest != digest:
+        cached = self._answers.find(key, now) if claim is None else None
+        existing = claim or cached
+        if existing is not None and existing.digest != digest:
             return [Settle(waiter.token, refuse_key_reused())]
-        if kept is not None:
-            return [Settle(waiter.token, kept.result, is_replay=True)]
+        if cached is not None:
+            return [Settle(waiter.token, cached.result, is_replay=True)]
         if claim is not None:
             claim.waiters.append(waiter)
-            # What was learnt before this waiter came proves nothing at its time.
+            # An earlier check that the key had not run may be outdated for this waiter.
             claim.is_known_not_run = False
             return []
         claim = self._claims[key] = _Claim(key, digest, waiter)
         return self._write(claim, None)
 
     def on_written(self, key, attempt, written):
-        """Take the outcome of a :class:`WriteClaim`.
+        """Process the outcome of a :class:`WriteClaim`.
 
         :param key: the claim's key.
-        :param attempt: the attempt that the row named.
-        :param written: the :class:`~camphorshelf_core.table.Written`.
+        :param attempt: the attempt named in the row.
+        :param written: the :class:`~camphorshelf_core.table.WriteResult`.
         :return: a list of actions.
         """
         claim = self._find(key, attempt, _Phase.WRITING)
@@ -146,8 +146,8 @@
         if written.outcome is WriteOutcome.NOT_APPLIED:
             return self._give_up(claim)
         if written.outcome is WriteOutcome.UNKNOWN:
-            # The answer was lost, the write perhaps not. Without reading back, a claim that
-            # took effect would be refused and its key left to a node that will not run it.
+            # The answer was lost, but the write may have taken effect. Without reading the row
+            # back, the call would be refused while the row names a node that won't run it.
             claim.may_be_written = True
             return self._read(claim)
         claim.is_known_not_run = False
@@ -156,11 +156,11 @@
         return self._handle_existing_row(claim, written.row)
 
     def on_read(self, key, attempt, result):
-        """Take the outcome of a :class:`ReadClaim`.
+        """Process the outcome of a :class:`ReadClaim`.
 
         :param key: the claim's key.
-        :param attempt: the attempt it was read for.
-        :param result: ``Success`` of a row or None, or ``Failure``.
+        :param attempt: the attempt for which the row was read.
+        :param result: ``Success`` with a row or None, or ``Failure``.
         :return: a list of actions.
         """
         claim = self._find(key, attempt, _Phase.READING)
@@ -169,18 +169,18 @@
         if not isinstance(result, Success):
             return self._give_up(claim)
         row = result.unwrap()
-        # No row, or still the void one that the write was to replace: at this moment the key
-        # had not run, whoever sent it before. The write may land later all the same.
+        # There is no row, or still the void one that the write should replace: no earlier request
+        # with this key has run so far. The write may still take effect later.
         if row is None or row.version == claim.expected:
             claim.is_known_not_run = True
             return self._give_up(claim)
         return self._handle_existing_row(claim, row)
 
     def on_owner(self, key, attempt, reply):
-        """Take what the owner said to an :class:`AskOwner`.
+        """Process the owner's reply to an :class:`AskOwner`.
 
         :param key: the claim's key.
-        :param attempt: the attempt it was asked for.
+        :param attempt: this node's attempt for which the owner was asked.
         :param reply: the :class:`OwnerReply`.
         :return: a list of actions.
         """
@@ -188,11 +188,11 @@
         return [] if claim is None else self._apply_owner_reply(claim, reply)
 
     def on_result(self, key, attempt, result, now):
-        """Take the result of a dispatched call.
+        """Process the result of a dispatched call.
 
         :param key: the claim's key.
-        :param attempt: the attempt that was run.
-        :param result: the response, or a refusal.
+        :param attempt: the attempt that was dispatched.
+        :param result: the response or refusal.
         :param now: seconds on the monotonic clock.
         :return: a list of actions.
         """
@@ -202,20 +202,20 @@
         del self._claims[key]
         state = _final_state(result)
         if state is RecordState.VOIDED:
-            self._ledger.mark_voided(attempt)
+            self._registry.mark_voided(attempt)
         else:
             self._answers.store(key, attempt, claim.digest, result, now)
-        record = self._record(claim)._replace(state=state, answer=self._small(result))
-        mark = MarkClaim(key, record, claim.version, self._draw_version())
+        record = self._record(claim)._replace(state=state, answer=self._storable_answer(result))
+        mark = MarkClaim(key, record, claim.version, self._random_version())
         return [*self._settle(claim, result, now), mark]
 
     def remove_waiter(self, key, token):
-        """Let a waiter go that no longer waits.
+        """Remove a waiter that has given up.
 
-        A call that was not dispatched yet and that nobody waits for is voided.
+        A call that has no waiters left and was not dispatched yet is voided.
 
         :param key: the claim's key.
-        :param token: the waiter's.
+        :param token: the waiter's token.
         :return: a list of actions.
         """
         claim = self._claims.get(key)
@@ -227,36 +227,36 @@
         return self._give_up(claim)
 
     def query_attempt(self, key, attempt, token, now):
-        """Answer a peer that met a claim of this node.
+        """Answer a peer that found a claim of this node in the table.
 
         :param key: the claim's key.
-        :param attempt: the attempt that the claim names.
-        :param token: the prober's, used only when the call is still under way.
+        :param attempt: the attempt named in the claim.
+        :param token: the peer's token, used only if the call is still in progress.
         :param now: seconds on the monotonic clock.
-        :return: the :class:`OwnerReply`, or None when the prober now waits for a ``Settle``.
+        :return: the :class:`OwnerReply`, or None if the peer now waits for a :class:`Settle`.
         """
         claim = self._claims.get(key)
         if claim is not None and claim.attempt == attempt and claim.phase is not _Phase.ASKING:
             claim.waiters.append(Waiter(_PeerToken(token, attempt)))
             return None
-        return self._word(key, attempt, now)
+        return self._owner_reply(key, attempt, now)
 
     def cancel_query(self, key, attempt, token):
-        """Let a peer go that asked and no longer waits.
+        """Remove a peer that has stopped waiting for the reply to its query.
 
         :param key: the claim's key.
-        :param attempt: the attempt it asked after.
-        :param token: the prober's.
+        :param attempt: the attempt that the peer asked about.
+        :param token: the peer's token.
         :return: a list of actions.
         """
         return self.remove_waiter(key, _PeerToken(token, attempt))
 
     def next_mark(self, mark, written):
-        """Decide what follows from a try to mark a claim.
+        """Decide whether a :class:`MarkClaim` must be repeated after an attempt to write it.
 
         :param mark: the :class:`MarkClaim`.
-        :param written: the :class:`~camphorshelf_core.table.Written`.
-        :return: the mark to try later, or None when there is nothing left to do.
+        :param written: the :class:`~camphorshelf_core.table.WriteResult`.
+        :return: the :class:`MarkClaim` to write later, or None if there is nothing left to do.
         """
         if written.outcome is WriteOutcome.APPLIED:
             return None
@@ -277,9 +277,9 @@
         is_current = claim is not None and claim.attempt == attempt and claim.phase is phase
         return claim if is_current else None
 
-    def _draw_version(self):
-        # Versions are drawn, not counted: a row that expired and was written anew must not
-        # have the version that a slow node still wants to replace.
+    def _random_version(self):
+        # Versions are random rather than sequential: a row that expired and was inserted again must
+        # not get the version that a slow node still expects.
         return self._random.getrandbits(53)
 
     def _record(self, claim):
@@ -289,7 +289,7 @@
         claim.attempt = self._next_attempt()
         claim.phase = _Phase.WRITING
         claim.expected = expected
-        claim.version = self._draw_version()
+        claim.version = self._random_version()
         claim.may_be_written = False
         return [WriteClaim(claim.key, self._record(claim), expected, claim.version)]
 
@@ -298,46 +298,46 @@
         return [ReadClaim(claim.key, claim.attempt)]
 
     def _run(self, claim):
-        if not self._invariants.holds("attempt_starts_once", self._ledger.start(claim.attempt)):
-            return self._refuse(claim, refuse_broken())
+        if not self._invariants.holds("attempt_starts_once", self._registry.start(claim.attempt)):
+            return self._refuse(claim, refuse_invariant_broken())
         claim.phase = _Phase.RUNNING
         return [RunCall(claim.key, claim.attempt)]
 
     def _handle_existing_row(self, claim, row):
-        """Go on from a row that stands in the way, which may be this claim's own."""
+        """Continue after an existing row was found, which may be this claim's own."""
         record = unpack_record(row.data)
         if record.attempt == claim.attempt and record.state is RecordState.OPEN:
             return self._run(claim)
-        self._ledger.void(claim.attempt)
+        self._registry.void(claim.attempt)
         if record.digest != claim.digest:
             return self._refuse(claim, refuse_key_reused())
         if record.state is RecordState.FINISHED:
-            return self._repeat(claim, record.answer or refuse_not_kept())
+            return self._settle_with_replay(claim, record.answer or refuse_not_kept())
         if record.state is RecordState.UNKNOWN:
-            return self._repeat(claim, refuse_outcome_lost())
+            return self._settle_with_replay(claim, refuse_outcome_lost())
         if record.state is RecordState.VOIDED:
             return self._take_over(claim, row.version)
-        claim.met_version = row.version
+        claim.found_version = row.version
         if record.attempt.incarnation == claim.attempt.incarnation:
             return self._apply_owner_reply(claim, self._registry_reply(record.attempt))
         claim.phase = _Phase.ASKING
         return [AskOwner(claim.key, claim.attempt, record)]
 
     def _registry_reply(self, attempt):
-        is_void = self._ledger.state(attempt) is AttemptState.VOIDED
+        is_void = self._registry.state(attempt) is AttemptState.VOIDED
         return OwnerReply(OwnerState.VOIDED if is_void else OwnerState.FORGOTTEN)
 
-    def _word(self, key, attempt, now):
-        kept = self._answers.find(key, now)
-        if kept is not None and kept.attempt == attempt:
-            return OwnerReply(OwnerState.FINISHED, kept.result)
+    def _owner_reply(self, key, attempt, now):
+        cached = self._answers.find(key, now)
+        if cached is not None and cached.attempt == attempt:
+            return OwnerReply(OwnerState.FINISHED, cached.result)
         return self._registry_reply(attempt)
 
     def _apply_owner_reply(self, claim, reply):
         if reply.state is OwnerState.FINISHED:
-            return self._repeat(claim, reply.result)
+            return self._settle_with_replay(claim, reply.result)
         if reply.state is OwnerState.VOIDED:
-            return self._take_over(claim, claim.met_version)
+            return self._take_over(claim, claim.found_version)
         return self._refuse(claim, OWNER_REFUSALS[reply.state])
 
     def _take_over(self, claim, version):
@@ -348,13 +348,13 @@
         return self._write(claim, version)
 
     def _give_up(self, claim):
-        """Refuse a call whose claim is not held; its attempt is void before anyone is told."""
-        if not self._invariants.holds("void_before_refusal", self._ledger.void(claim.attempt)):
-            return self._refuse(claim, refuse_broken())
+        """Refuse a call whose claim is not held, after its attempt has been voided."""
+        if not self._invariants.holds("void_before_refusal", self._registry.void(claim.attempt)):
+            return self._refuse(claim, refuse_invariant_broken())
         actions = []
         if claim.may_be_written:
             record = self._record(claim)._replace(state=RecordState.VOIDED)
-            mark = MarkClaim(claim.key, record, claim.expected, self._draw_version())
+            mark = MarkClaim(claim.key, record, claim.expected, self._random_version())
             actions.append(mark)
         return self._refuse(claim, None) + actions
 
@@ -368,7 +368,7 @@
         result = refusal or refuse_unavailable(claim.is_known_not_run or waiter.is_first)
         return Settle(waiter.token, result)
 
-    def _repeat(self, claim, result):
+    def _settle_with_replay(self, claim, result):
         return [
             settle if isinstance(settle.result, OwnerReply) else settle._replace(is_replay=True)
             for settle in self._refuse(claim, result)
@@ -377,14 +377,14 @@
     def _settle(self, claim, result, now):
         return [
             (
-                Settle(waiter.token.token, self._word(claim.key, waiter.token.attempt, now))
+                Settle(waiter.token.token, self._owner_reply(claim.key, waiter.token.attempt, now))
                 if isinstance(waiter.token, _PeerToken)
                 else Settle(waiter.token, result)
             )
             for waiter in claim.waiters
         ]
 
-    def _small(self, result):
+    def _storable_answer(self, result):
         if not isinstance(result, Response):
             return None
         size = len(result.body) + sum(len(name) + len(value) for name, value in result.headers)
@@ -392,7 +392,7 @@
 
 
 class _PeerToken(NamedTuple):
-    """The token of a peer that asks after an attempt; it is told its state, not an answer."""
+    """The token of a peer that asks about an attempt; it gets the state and not the answer."""
 
     token: object
     attempt: AttemptId
--- a/packages/core/src/camphorshelf_core/tickets.py
+++ b/packages/core/src/camphorshelf_core/tickets.py
@@ -1,9 +1,9 @@
-"""Runs a call under a ticket at most once, without the platform's table and without a clock.
+"""Runs a call with a ticket at most once, without the platform's table and without a clock.
 
-A ticket names one incarnation of one target's node. Only that process runs it and keeps the
-record of it in its memory, so that there is nothing to agree on: where the process is gone the
-outcome is unknown, and nobody else may run it. This is the path whose cost does not grow with
-the system: no table write, one round trip to mint, none to check.
+A ticket names one incarnation of one target's node. Only that process runs the call, and it keeps
+the record in memory, so no agreement between nodes is needed: if the process is gone, the outcome
+is unknown and no other process may run the call. The cost doesn't grow with the number of nodes:
+no table write, one round trip to mint a ticket, none to check it.
 """
 
 import hashlib
@@ -15,15 +15,19 @@
 from .errors import Code, Ran, Refusal
 
 PREFIX = "cst1"
-_PROOF_BYTES = 8
+_MAC_BYTES = 8
 _SEPARATOR = "."
-_PARTS = 5
+_FIELD_COUNT = 5
 _MAX_NUMBER_DIGITS = 18
-_FULL_RETRY_MS = 1_000
+_RETRY_AFTER_MS = 1_000
 
 
 class Ticket(NamedTuple):
-    """A ticket's parts; ``mac`` shows that its node minted it, for one service."""
+    """The fields of a ticket.
+
+    ``mac`` is a message authentication code: it shows that the node minted the ticket, and for
+    which service.
+    """
 
     node: str
     incarnation: str
@@ -32,7 +36,7 @@
 
 
 class TicketStep(Enum):
-    """What to do with a call under a ticket."""
+    """What to do with a call that carries a ticket."""
 
     RUN = "run"
     WAIT = "wait"
@@ -40,7 +44,7 @@
 
 
 class TicketDecision(NamedTuple):
-    """The step for a call, and the result when it is ``ANSWER``."""
+    """The step for a call, and its result if the step is ``ANSWER``."""
 
     step: TicketStep
     result: object = None
@@ -64,21 +68,21 @@
 
 
 class TicketStore:
-    """The tickets that one process has minted, as many as it may remember.
+    """The tickets that one process has minted, within a limit.
 
-    Numbers only grow, and a number that was minted but is not remembered never runs: whatever
-    is forgotten, and when, costs a clear answer and not a second run. The clock decides only
-    when an idle record may make room, so a wrong one does no harm either. A running call's
-    record is never dropped, and when no record may go, nothing more is minted.
+    Ticket numbers only increase, and a call whose ticket was minted but has no record any more
+    never runs: dropping a record may cost the caller its answer but never causes a second run.
+    The clock only decides when an idle record may be dropped, so a wrong clock does no harm. The
+    record of a running call is never dropped, and no tickets are minted while the store is full.
     """
 
     def __init__(self, settings, node, incarnation, secret, invariants):
-        """Start empty.
+        """Create an empty store.
 
         :param settings: the :class:`~camphorshelf_core.settings.ClaimSettings`.
         :param node: this node's name.
-        :param incarnation: this process's own.
-        :param secret: bytes that nobody else knows.
+        :param incarnation: the incarnation of this process.
+        :param secret: the key for the tickets' message authentication codes, in bytes.
         :param invariants: the node's :class:`~camphorshelf_core.invariants.Invariants`.
         """
         self._settings = settings
@@ -96,29 +100,31 @@
     def mint(self, service, now):
         """Mint a ticket.
 
-        :param service: the service that it is for.
+        :param service: the service that the ticket is valid for.
         :param now: seconds on the monotonic clock.
-        :return: the ticket as text, or a :class:`Refusal` when there is no room.
+        :return: the ticket as text, or a :class:`Refusal` if the store is full.
         """
-        self._make_room(now)
+        self._drop_old_records(now)
         if len(self._records) >= self._settings.tickets:
-            reason = "the target's node remembers as many tickets as it may"
-            return Refusal(Code.TICKETS_FULL, reason, retry_after_ms=_FULL_RETRY_MS)
+            reason = "the target's node has reached its limit of stored tickets"
+            return Refusal(Code.TICKETS_FULL, reason, retry_after_ms=_RETRY_AFTER_MS)
         self._minted += 1
         self._records[self._minted] = _Record(now)
-        mac = self._prove(service, self._minted)
+        mac = self._compute_mac(service, self._minted)
         return format_ticket(Ticket(self._node, self._incarnation, self._minted, mac))
 
     def begin(self, ticket, service, digest, now):
-        """Decide about a call under a ticket; after ``RUN`` it counts as running.
+        """Decide what to do with a call that carries a ticket.
+
+        After ``RUN`` the call counts as running until :meth:`finish`.
 
         :param ticket: the :class:`Ticket`.
         :param service: the call's service.
         :param digest: the call's digest.
         :param now: seconds on the monotonic clock.
-        :return: a :class:`TicketDecision`.
+        :return: the :class:`TicketDecision`.
         """
-        refusal = self._find_fault(ticket, service)
+        refusal = self._find_refusal(ticket, service)
         if refusal is not None:
             return TicketDecision(TicketStep.ANSWER, refusal)
         record = self._records[ticket.number]
@@ -135,11 +141,11 @@
         return TicketDecision(TicketStep.RUN)
 
     def finish(self, ticket, result, size, now):
-        """Take a call's result; one that did not run leaves the ticket good for another try.
+        """Record a call's result; if the call did not run, its ticket can be used again.
 
         :param ticket: the :class:`Ticket`.
         :param result: the response or refusal.
-        :param size: the bytes that it takes.
+        :param size: the size of the result in bytes.
         :param now: seconds on the monotonic clock.
         :return: None.
         """
@@ -155,76 +161,76 @@
             record.bytes = size
             self._bytes += size
         self._touch(ticket.number, now)
-        self._make_room(now)
+        self._drop_old_records(now)
 
-    def _find_fault(self, ticket, service):
+    def _find_refusal(self, ticket, service):
         if (ticket.node, ticket.incarnation) != (self._node, self._incarnation):
-            reason = "the process that minted the ticket is gone; no other one runs it"
+            reason = "the process that minted the ticket is gone; no other process runs the call"
             return Refusal(Code.TICKET_NODE_GONE, reason, Ran.OUTCOME_UNKNOWN)
-        mac = self._prove(service, ticket.number)
+        mac = self._compute_mac(service, ticket.number)
         if ticket.number > self._minted or not compare_digest(mac, ticket.mac):
             reason = "the ticket was not minted by this node for this service"
             return Refusal(Code.BAD_TICKET, reason)
         if ticket.number not in self._records:
-            reason = "the ticket is too old to be remembered; it is not run again"
+            reason = "the record of the ticket has expired; the call is not run again"
             return Refusal(Code.TICKET_FORGOTTEN, reason, Ran.OUTCOME_UNKNOWN)
         return None
 
-    def _prove(self, service, number):
+    def _compute_mac(self, service, number):
         text = f"{service}/{number}".encode()
-        return hashlib.blake2b(text, key=self._secret, digest_size=_PROOF_BYTES).hexdigest()
+        return hashlib.blake2b(text, key=self._secret, digest_size=_MAC_BYTES).hexdigest()
 
     def _touch(self, number, now):
         self._records[number].changed_at = now
         self._records.move_to_end(number)
 
-    def _make_room(self, now):
-        """Drop the records longest unchanged, for as long as they are idle and old enough."""
-        age = self._settings.ticket_age_ms / 1000
-        left = self._bytes
-        doomed = []
+    def _drop_old_records(self, now):
+        """Drop finished and old unused records, longest unchanged first, to meet the limits."""
+        max_age_s = self._settings.ticket_age_ms / 1000
+        remaining_bytes = self._bytes
+        dropped = []
         for number, record in self._records.items():
-            is_old = now - record.changed_at > age
-            is_crowded = left > self._settings.kept_answer_bytes
-            if not is_old and not is_crowded:
+            is_old = now - record.changed_at > max_age_s
+            is_over_limit = remaining_bytes > self._settings.kept_answer_bytes
+            if not is_old and not is_over_limit:
                 break
             if record.state is _State.FINISHED or (is_old and record.state is _State.UNUSED):
-                left -= record.bytes
-                doomed.append(number)
-        for number in doomed:
+                remaining_bytes -= record.bytes
+                dropped.append(number)
+        for number in dropped:
             del self._records[number]
-        self._bytes = left
+        self._bytes = remaining_bytes
 
 
 def format_ticket(ticket):
-    """Write a ticket as text.
+    """Format a ticket as text.
 
     :param ticket: the :class:`Ticket`.
-    :return: the text, fit for the header ``Idempotency-Key``.
+    :return: the text, which is valid as a value of the header ``Idempotency-Key``.
     """
     node, incarnation, number, mac = ticket
     return _SEPARATOR.join((PREFIX, node, incarnation, str(number), mac))
 
 
 def parse_ticket(text):
-    """Read a ticket.
+    """Parse a ticket.
 
-    :param text: the value of ``Idempotency-Key``.
-    :return: the :class:`Ticket`, or None when it is malformed.
+    :param text: the value of the header ``Idempotency-Key``.
+    :return: the :class:`Ticket`, or None if it is malformed.
     """
-    parts = text.split(_SEPARATOR)
-    if len(parts) != _PARTS or parts[0] != PREFIX:
+    fields = text.split(_SEPARATOR)
+    if len(fields) != _FIELD_COUNT or fields[0] != PREFIX:
         return None
-    _, node, incarnation, number, mac = parts
+    _, node, incarnation, number, mac = fields
     if not number.isdecimal() or len(number) > _MAX_NUMBER_DIGITS or not mac.isascii():
         return None
     return Ticket(node, incarnation, int(number), mac)
 
 
 def is_ticket(text):
-    """Tell a ticket from a caller's own key.
+    """Check whether a key is a ticket rather than a caller's own key.
 
-    :param text: the value of ``Idempotency-Key``.
+    :param text: the value of the header ``Idempotency-Key``.
     :return: True or False.
     """
     return text.startswith(PREFIX + _SEPARATOR)
