--- a/packages/core/src/camphorshelf_core/claimactions.py
+++ b/packages/core/src/camphorshelf_core/claimactions.py
@@ -18,7 +18,7 @@
 
 
 class WriteClaim(NamedTuple):
-    """Write a claim's row if the stored row has the expected version (None: if there is no row)."""
+    """Write a claim's row if its version is ``expected``; None means that it must not exist."""
 
     key: ClaimKey
     record: ClaimRecord
--- a/packages/core/src/camphorshelf_core/claims.py
+++ b/packages/core/src/camphorshelf_core/claims.py
@@ -312,9 +312,9 @@
         if record.digest != claim.digest:
             return self._refuse(claim, refuse_key_reused())
         if record.state is RecordState.FINISHED:
-            return self._settle_with_replay(claim, record.answer or refuse_not_kept())
+            return self._settle_as_replay(claim, record.answer or refuse_not_kept())
         if record.state is RecordState.UNKNOWN:
-            return self._settle_with_replay(claim, refuse_outcome_lost())
+            return self._settle_as_replay(claim, refuse_outcome_lost())
         if record.state is RecordState.VOIDED:
             return self._take_over(claim, row.version)
         claim.found_version = row.version
@@ -335,7 +335,7 @@
 
     def _apply_owner_reply(self, claim, reply):
         if reply.state is OwnerState.FINISHED:
-            return self._settle_with_replay(claim, reply.result)
+            return self._settle_as_replay(claim, reply.result)
         if reply.state is OwnerState.VOIDED:
             return self._take_over(claim, claim.found_version)
         return self._refuse(claim, OWNER_REFUSALS[reply.state])
@@ -348,7 +348,7 @@
         return self._write(claim, version)
 
     def _give_up(self, claim):
-        """Refuse a call whose claim is not held, after its attempt has been voided."""
+        """Void the attempt of a call whose claim is not held, then refuse the call."""
         if not self._invariants.holds("void_before_refusal", self._registry.void(claim.attempt)):
             return self._refuse(claim, refuse_invariant_broken())
         actions = []
@@ -368,7 +368,7 @@
         result = refusal or refuse_unavailable(claim.is_known_not_run or waiter.is_first)
         return Settle(waiter.token, result)
 
-    def _settle_with_replay(self, claim, result):
+    def _settle_as_replay(self, claim, result):
         return [
             settle if isinstance(settle.result, OwnerReply) else settle._replace(is_replay=True)
             for settle in self._refuse(claim, result)
--- a/packages/core/src/camphorshelf_core/confirm.py
+++ b/packages/core/src/camphorshelf_core/confirm.py
@@ -52,7 +52,7 @@
 
 
 class CompareAndSetRow(NamedTuple):
-    """Write a row if its version is ``expected``, or if it doesn't exist for None.
+    """Write a row if its version is ``expected``; None means that the row must not exist.
 
     The outcome is True, False or ``UNKNOWN``. The head row's version in the table is the version of
     the configuration, so the table itself checks that a plan is applied to its base version.
@@ -87,7 +87,8 @@
 class ConfirmResult(NamedTuple):
     """The result of a successful confirm.
 
-    ``version`` is the version that the plan became; ``head`` and ``body`` are the newest ones.
+    ``version`` is the version that was made from the plan; ``head`` and ``body`` are those of the
+    newest version.
     """
 
     version: int
--- a/packages/core/src/camphorshelf_core/placement.py
+++ b/packages/core/src/camphorshelf_core/placement.py
@@ -122,9 +122,9 @@
 
 
 def has_room(view, now):
-    """Tell whether a target has a free slot for one more request.
+    """Check whether a target has a free slot for one more request.
 
-    :param view: its :class:`~camphorshelf_core.hosts.HostView`.
+    :param view: the target's :class:`~camphorshelf_core.hosts.HostView`.
     :param now: seconds on the monotonic clock.
     :return: True or False.
     """
@@ -154,8 +154,8 @@
 def _by_cost(candidate):
     if candidate.is_fresh:
         return candidate.cost_s
-    # Costs of targets without a fresh load are rounded up to a power of the step. Similar targets
-    # then keep their random order; otherwise all entry nodes would probe the same few.
+    # Without a fresh load, the cost is rounded up to a power of the factor. Similar targets then
+    # keep their random order; otherwise all entry nodes would probe the same few.
     cost_s = max(_MIN_COST_SECONDS, candidate.cost_s)
     return _COST_ROUNDING_FACTOR ** math.ceil(math.log(cost_s, _COST_ROUNDING_FACTOR))
 
--- a/packages/core/src/camphorshelf_core/retrybudget.py
+++ b/packages/core/src/camphorshelf_core/retrybudget.py
@@ -87,8 +87,9 @@
         self._slack = limits.slack * _SLACK_SHARE * share
         self._window_s = limits.window_s
         self._from_requests = 0.0
-        # A new node starts with the full slack: it retries no more callers than any other node,
-        # and even if all nodes start at once the total stays within the limits.
+        # A new node starts with its whole part of the slack, to which advance() limits this value:
+        # it retries no more callers than any other node, and even if all nodes start at once the
+        # total stays within the limits.
         self._from_time = self._slack
         self._updated_at = now
 
--- a/packages/core/src/camphorshelf_core/versions.py
+++ b/packages/core/src/camphorshelf_core/versions.py
@@ -4,10 +4,10 @@
 Without this check, a node that has just started or resumed would serve calls with an older
 version than the one in force elsewhere, and a target that should leave would get new calls.
 
-A version is *proved* in an epoch once the platform, or enough peers, report no newer one.
-An epoch begins when the process starts and whenever the process has not run for some time; only
-answers to requests sent in the epoch count. A process that was frozen finds old answers in its
-socket buffers when it resumes and would otherwise take them for current ones.
+A version is *proved* in an epoch once the platform, or enough peers, report no newer one. An epoch
+begins when the process starts and whenever it has not run for some time; only answers to requests
+sent in the epoch count. A process that was frozen finds old answers in its socket buffers when it
+resumes and would otherwise take them for current ones.
 """
 
 from typing import NamedTuple
