--- a/bench/idle.py
+++ b/bench/idle.py
@@ -113,7 +113,7 @@
         service=f"s{number % 3}",
         limit=3,
         revision=0,
-        repeat_s=0.0,
+        push_interval_s=0.0,
     )
     settings = SimpleNamespace(
         name=f"h{number}",
--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -105,15 +105,15 @@
 
 
 def _no_short_statuses():
-    peers.encode_short = announcer.encode_short = peers.encode
+    peers.encode_short_status = announcer.encode_short_status = peers.encode
 
 
 def _probe_always():
-    hosts._PUSH_MOST_HOSTS = hosts._PUSH_AGAIN_HOSTS = 0
+    hosts._PUSH_MAX_HOSTS = hosts._PUSH_RESUME_MAX_HOSTS = 0
 
 
 def _push_always():
-    hosts._PUSH_MOST_HOSTS = hosts._PUSH_AGAIN_HOSTS = 10_000
+    hosts._PUSH_MAX_HOSTS = hosts._PUSH_RESUME_MAX_HOSTS = 10_000
 
 
 MECHANISMS: dict[str, Callable[[], None]] = {
--- a/packages/core/src/camphorshelf_core/claims.py
+++ b/packages/core/src/camphorshelf_core/claims.py
@@ -135,7 +135,7 @@
 
         :param key: the claim's key.
         :param attempt: the attempt that the row named.
-        :param written: the :class:`~camphorshelf_core.table.Written`.
+        :param written: the :class:`~camphorshelf_core.table.WriteResult`.
         :return: a list of actions.
         """
         claim = self._find(key, attempt, _Phase.WRITING)
@@ -255,7 +255,7 @@
         """Decide what follows from a try to mark a claim.
 
         :param mark: the :class:`MarkClaim`.
-        :param written: the :class:`~camphorshelf_core.table.Written`.
+        :param written: the :class:`~camphorshelf_core.table.WriteResult`.
         :return: the mark to try later, or None when there is nothing left to do.
         """
         if written.outcome is WriteOutcome.APPLIED:
--- a/packages/core/src/camphorshelf_core/directory.py
+++ b/packages/core/src/camphorshelf_core/directory.py
@@ -51,7 +51,7 @@
         """The failure domains of all hosts that were heard."""
         return list(self._domains)
 
-    def learn(self, address, now):
+    def add_address(self, address, now):
         """Take note of a host's address.
 
         :param address: its links' address.
@@ -65,7 +65,7 @@
         self._unheard[address] = None
         return True
 
-    def take(self, status, now):
+    def apply_status(self, status, now):
         """Take in a status.
 
         :param status: the :class:`HostStatus`.
@@ -77,7 +77,7 @@
             view = self._views[status.address] = HostView()
             self._unheard.pop(status.address, None)
         before = view.status
-        if not view.take(status, now):
+        if not view.apply(status, now):
             return False
         self._known_at[status.address] = now
         self._forgotten_at.pop(status.address, None)
--- a/packages/core/src/camphorshelf_core/failuredetector.py
+++ b/packages/core/src/camphorshelf_core/failuredetector.py
@@ -80,7 +80,7 @@
         self._next_probe_at = now
         self._ticked_at = now
 
-    def note_probe(self, address, now):
+    def record_probe(self, address, now):
         """Take in that a member was probed, by whatever part of the node.
 
         :param address: its links' address.
@@ -89,7 +89,7 @@
         """
         self._waits.setdefault(address, _Wait(now))
 
-    def note_heard(self, address):
+    def record_contact(self, address):
         """Take in that a member was heard.
 
         :param address: its links' address.
@@ -169,7 +169,7 @@
             address = self._take(self._far, self._list_far, now)
         if address is None:
             return []
-        self.note_probe(address, now)
+        self.record_probe(address, now)
         return [Probe(address)]
 
     def _choose_suspect(self):
@@ -201,4 +201,4 @@
     if view.suspected_at is not None:
         return False
     # One that has stopped to push may have changed to being probed, and the news of it was lost.
-    return not view.pushes or view.is_silent(now)
+    return not view.pushes_load or view.is_silent(now)
--- a/packages/core/src/camphorshelf_core/statusforms.py
+++ b/packages/core/src/camphorshelf_core/hostdatagrams.py
@@ -44,7 +44,7 @@
     status: HostStatus
 
 
-class News(NamedTuple):
+class MemberUpdates(NamedTuple):
     """What members should know at once.
 
     :param must_forward: whether the receiver has to tell its failure domain.
@@ -79,7 +79,7 @@
     addresses: tuple
 
 
-class UnknownShort(NamedTuple):
+class UnresolvedShortStatus(NamedTuple):
     """A short status whose whole form is not known here."""
 
 
@@ -92,7 +92,7 @@
     return cbor2.dumps(_to_fields(message))
 
 
-def encode_short(status):
+def encode_short_status(status):
     """Turn what changes often into the bytes of a datagram.
 
     :param status: the :class:`~camphorshelf_core.hosts.HostStatus`.
@@ -110,7 +110,7 @@
             status.queued,
             round(status.slowness * _HUNDREDTHS),
             round(status.work_s * _THOUSANDTHS),
-            round(status.failing * _THOUSANDTHS),
+            round(status.failure_ratio * _THOUSANDTHS),
             status.config_version,
             status.lacks_store_access,
             round(status.start_wait_s * _THOUSANDTHS),
@@ -119,7 +119,7 @@
     )
 
 
-def has_same_names(status, other):
+def is_short_form_sufficient(status, other):
     """Tell whether the short form says all that has changed between two statuses.
 
     :param status: a :class:`~camphorshelf_core.hosts.HostStatus`.
@@ -153,7 +153,7 @@
         return (_WHOLE, *message)
     if isinstance(message, Greeting):
         return (_GREETING, *message.status)
-    if isinstance(message, News):
+    if isinstance(message, MemberUpdates):
         return (_NEWS, message.must_forward, [_to_fields(item) for item in message.items])
     return (_KINDS[type(message)], *message)
 
@@ -162,7 +162,7 @@
     items = [_from_fields(entry[0], entry[1:]) for entry in entries]
     if not all(isinstance(item, HostStatus | Suspicion) for item in items):
         return None
-    return News(bool(must_forward), tuple(items))
+    return MemberUpdates(bool(must_forward), tuple(items))
 
 
 def _from_fields(kind, fields):
@@ -211,7 +211,7 @@
     _, sequence, revision, accepting, limit, running, queued, *rest = fields
     slowness, work, failing, version, lacks_store_access, start_wait, evacuation_version = rest
     if held is None or held.revision != revision:
-        return UnknownShort()
+        return UnresolvedShortStatus()
     return held._replace(
         sequence=sequence,
         accepting=bool(accepting),
@@ -220,7 +220,7 @@
         queued=queued,
         slowness=slowness / _HUNDREDTHS,
         work_s=work / _THOUSANDTHS,
-        failing=failing / _THOUSANDTHS,
+        failure_ratio=failing / _THOUSANDTHS,
         config_version=version,
         lacks_store_access=bool(lacks_store_access),
         start_wait_s=start_wait / _THOUSANDTHS,
@@ -229,7 +229,7 @@
 
 
 def _names(status):
-    return status.instance, status.service, status.crashes, status.warming_s > 0, status.repeat_s
+    return status.instance, status.service, status.crashes, status.warming_s > 0, status.push_interval_s
 
 
 def _check_whole(status):
--- a/packages/core/src/camphorshelf_core/hosts.py
+++ b/packages/core/src/camphorshelf_core/hosts.py
@@ -11,8 +11,8 @@
 
 # Pushed to more hosts than this, most reports of load are never used. The two bounds give
 # hysteresis: each change of the mode is told to all hosts.
-_PUSH_MOST_HOSTS = 30
-_PUSH_AGAIN_HOSTS = 24
+_PUSH_MAX_HOSTS = 30
+_PUSH_RESUME_MAX_HOSTS = 24
 # How often a host that pushes its load repeats its status, at least.
 _REPEAT_SECONDS = 0.2
 _REPEATS_PER_SECOND = 150
@@ -33,7 +33,7 @@
 _SYMBOL_BITS = 6
 _SYMBOL_COUNT = 12
 _CHANCE_SYMBOLS = 4
-CHANCE_BITS = 20
+RANDOM_BITS = 20
 
 
 def is_address(text):
@@ -48,37 +48,37 @@
     return bool(ip) and port.isdigit()
 
 
-def draw_incarnation(started_us, chance):
+def make_incarnation(started_us, chance):
     """Name a process of a node; one that starts later at the same address compares greater.
 
     :param started_us: microseconds since the epoch.
-    :param chance: a random number of :data:`CHANCE_BITS` bits.
+    :param chance: a random number of :data:`RANDOM_BITS` bits.
     :return: the incarnation.
     """
-    return _to_symbols(started_us << CHANCE_BITS | chance, _SYMBOL_COUNT)
+    return _to_symbols(started_us << RANDOM_BITS | chance, _SYMBOL_COUNT)
 
 
-def outbid_incarnation(other, chance):
+def make_newer_incarnation(other, chance):
     """Name a process so that it compares greater than one that ran before at its address.
 
     :param other: the incarnation of that one, whose clock was ahead.
-    :param chance: a random number of :data:`CHANCE_BITS` bits; several may outbid the same one.
+    :param chance: a random number of :data:`RANDOM_BITS` bits; several may outbid the same one.
     :return: the incarnation.
     """
     return other + _to_symbols(chance, _CHANCE_SYMBOLS)
 
 
-def is_push_size(hosts, is_pushing):
+def should_push_load(hosts, is_pushing):
     """Tell whether each host should push its load to all others.
 
     :param hosts: how many others there are.
     :param is_pushing: whether it does so now.
     :return: True or False; when it is false, who wants to know has to probe.
     """
-    return hosts <= (_PUSH_MOST_HOSTS if is_pushing else _PUSH_AGAIN_HOSTS)
+    return hosts <= (_PUSH_MAX_HOSTS if is_pushing else _PUSH_RESUME_MAX_HOSTS)
 
 
-def repeat_seconds(hosts):
+def push_interval_seconds(hosts):
     """Tell how often a host that pushes its load repeats its status.
 
     :param hosts: how many others it tells.
@@ -104,11 +104,11 @@
     :param queued: how many wait for one of those to end.
     :param slowness: how long work takes there now, 1.0 as usual.
     :param work_s: mean time of a request there, as if the slowness were 1.0; 0.0 unknown.
-    :param failing: share of recent requests that failed.
+    :param failure_ratio: share of recent requests that failed.
     :param config_version: the configuration in force there; 0 for none.
     :param lacks_store_access: whether the store refuses or does not answer its node.
     :param revision: grows with each change of what a short status leaves out.
-    :param repeat_s: the longest time between two statuses that it pushes; 0.0 when it is to be
+    :param push_interval_s: the longest time between two statuses that it pushes; 0.0 when it is to be
         probed.
     :param crashes: pairs of a request's fingerprint and how often the target crashed under it.
     :param start_wait_s: when a cold target may get one request more; 0.0 for at once.
@@ -129,11 +129,11 @@
     queued: int
     slowness: float
     work_s: float
-    failing: float
+    failure_ratio: float
     config_version: int
     lacks_store_access: bool
     revision: int
-    repeat_s: float
+    push_interval_s: float
     crashes: tuple = ()
     start_wait_s: float = 0.0
     evacuation_version: int = 0
@@ -142,7 +142,7 @@
 class HostView:
     """One other host as this node sees it."""
 
-    __slots__ = ("status", "heard_at", "probed_at", "suspected_at", "unseen")
+    __slots__ = ("status", "heard_at", "probed_at", "suspected_at", "requests_since_status")
 
     def __init__(self):
         self.status = None
@@ -152,14 +152,14 @@
         # Since when the failure detector takes the host for dead; None when it does not.
         self.suspected_at = None
         # Own requests sent there since its last status, which cannot count them yet.
-        self.unseen = 0
+        self.requests_since_status = 0
 
     @property
-    def pushes(self):
+    def pushes_load(self):
         """Whether the host tells each change of its load by itself."""
-        return self.status.repeat_s > 0
+        return self.status.push_interval_s > 0
 
-    def take(self, status, now):
+    def apply(self, status, now):
         """Take in a status unless it is older than the one held.
 
         :param status: the :class:`HostStatus`.
@@ -172,7 +172,7 @@
         self.heard_at = now
         self.probed_at = None
         self.suspected_at = None
-        self.unseen = 0
+        self.requests_since_status = 0
         return True
 
     def suspect(self, incarnation, now):
@@ -189,7 +189,7 @@
         self.suspected_at = now
         return True
 
-    def is_overdue(self, now):
+    def is_probe_overdue(self, now):
         """Tell whether the host owes the answer to a probe for too long.
 
         :param now: seconds on the monotonic clock.
@@ -203,7 +203,7 @@
         :param now: seconds on the monotonic clock.
         :return: True or False.
         """
-        return self.pushes or now - self.heard_at <= FRESH_SECONDS
+        return self.pushes_load or now - self.heard_at <= FRESH_SECONDS
 
     def is_silent(self, now):
         """Tell whether the host is used only when no other is left.
@@ -211,9 +211,9 @@
         :param now: seconds on the monotonic clock.
         :return: True or False.
         """
-        if self.suspected_at is not None or self.is_overdue(now):
+        if self.suspected_at is not None or self.is_probe_overdue(now):
             return True
-        return self.pushes and now - self.heard_at > self.status.repeat_s * _SILENT_PERIODS
+        return self.pushes_load and now - self.heard_at > self.status.push_interval_s * _SILENT_PERIODS
 
     def is_gone(self, now):
         """Tell whether the host gets no requests at all.
@@ -223,8 +223,8 @@
         """
         if self.suspected_at is not None and now - self.suspected_at > SUSPICION_SECONDS:
             return True
-        longest = max(GONE_SECONDS, self.status.repeat_s * _SILENT_PERIODS)
-        return self.pushes and now - self.heard_at > longest
+        longest = max(GONE_SECONDS, self.status.push_interval_s * _SILENT_PERIODS)
+        return self.pushes_load and now - self.heard_at > longest
 
     def is_usable(self, now):
         """Tell whether the target beside the host may be sent work.
--- a/packages/core/src/camphorshelf_core/instances.py
+++ b/packages/core/src/camphorshelf_core/instances.py
@@ -83,7 +83,7 @@
         """
         return max(0.0, self._warm_at - now)
 
-    def beat(self, heartbeat, now):
+    def record_heartbeat(self, heartbeat, now):
         """Take in a heartbeat unless a newer one is known.
 
         :param heartbeat: the :class:`Heartbeat`.
@@ -109,7 +109,7 @@
         self._warm_at = now + heartbeat.warming_s
         return True
 
-    def leave(self, instance, started_ms=None):
+    def record_leaving(self, instance, started_ms=None):
         """Take in that a process goes for good.
 
         :param instance: its id.
@@ -125,7 +125,7 @@
         self._leaving = True
         return True
 
-    def seen_healthy(self, instance):
+    def record_healthy(self, instance):
         """Take in that the health path answered well.
 
         A node that starts beside a living target learns the id from it, up to one heartbeat
@@ -144,7 +144,7 @@
         self._doubted = False
         return True
 
-    def seen_unhealthy(self, instance):
+    def record_unhealthy(self, instance):
         """Take in that the health path said no.
 
         A target that has been heard by heartbeat is believed by it: its health may be wrong.
@@ -159,7 +159,7 @@
             self._replace(instance)
             self._doubted = True
 
-    def seen_elsewhere(self, instance):
+    def record_other_instance(self, instance):
         """Take in that the address answered for another process than the one asked for.
 
         :param instance: the id in the answer, empty when it gave none.
@@ -169,7 +169,7 @@
             self._replace(instance)
             self._doubted = False
 
-    def seen_down(self):
+    def record_unreachable(self):
         """Take in that the target takes no connections.
 
         :return: None.
--- a/packages/core/src/camphorshelf_core/join.py
+++ b/packages/core/src/camphorshelf_core/join.py
@@ -29,7 +29,7 @@
     return f"{crc32(node.encode()):08x}-{node}"
 
 
-def random_start(random):
+def random_row_key(random):
     """Choose where to begin to read.
 
     :param random: a ``random.Random``.
--- a/packages/core/src/camphorshelf_core/loadprobes.py
+++ b/packages/core/src/camphorshelf_core/loadprobes.py
@@ -64,6 +64,6 @@
     :return: True or False.
     """
     status = view.status
-    is_sound = status.failing < BROKEN_SHARE / 2 and status.warming_s == 0
+    is_sound = status.failure_ratio < BROKEN_SHARE / 2 and status.warming_s == 0
     is_near_and_fast = status.domain == domain and status.slowness <= _FAST
     return is_sound and is_near_and_fast and has_room(view, now)
--- a/packages/core/src/camphorshelf_core/messages.py
+++ b/packages/core/src/camphorshelf_core/messages.py
@@ -92,11 +92,11 @@
     body: bytes | None
 
 
-class GoodbyeMessage(NamedTuple):
+class GoAwayMessage(NamedTuple):
     """Asks the peer to send no more calls: this node stops when it has answered those it has."""
 
 
-class ClaimAskMessage(NamedTuple):
+class ClaimStatusRequestMessage(NamedTuple):
     """Asks the owner of a claim what became of its attempt."""
 
     call_id: int
@@ -106,7 +106,7 @@
     wait_ms: int
 
 
-class ClaimWordMessage(NamedTuple):
+class ClaimStatusMessage(NamedTuple):
     """The owner's word; one of ``answer`` and ``refusal`` is set when the call finished."""
 
     call_id: int
@@ -115,7 +115,7 @@
     refusal: tuple | None
 
 
-class MintMessage(NamedTuple):
+class TicketsRequestMessage(NamedTuple):
     """Asks a target's node for tickets."""
 
     call_id: int
@@ -123,7 +123,7 @@
     count: int
 
 
-class MintedMessage(NamedTuple):
+class TicketsMessage(NamedTuple):
     """Carries tickets, or the refusal to mint."""
 
     call_id: int
@@ -199,7 +199,7 @@
     idempotent: bool
     priority: int
     objective_s: float
-    left_s: float
+    remaining_s: float
     work_s: float
     late_policy: int
     request_id: str
@@ -210,7 +210,7 @@
     body: bytes
 
 
-class RelayedMessage(NamedTuple):
+class RelayAnswerMessage(NamedTuple):
     """Carries a target's whole answer and how long it waited and ran there, in seconds."""
 
     call_id: int
@@ -222,7 +222,7 @@
     slowness: float
 
 
-class DeclinedMessage(NamedTuple):
+class RelayRefusedMessage(NamedTuple):
     """Says that a request got no answer, and whether it ran.
 
     ``reached`` tells whether a target got it, ``wait_s`` how long it would have had to wait.
@@ -256,7 +256,7 @@
     evacuations: Evacuations = Evacuations()
 
 
-class PieceMessage(NamedTuple):
+class FragmentMessage(NamedTuple):
     """Carries a part of a message that is too large for one frame."""
 
     number: int
@@ -264,7 +264,7 @@
     data: bytes
 
 
-class DropMessage(NamedTuple):
+class FragmentsAbortedMessage(NamedTuple):
     """Says that the rest of a message in pieces will not come."""
 
     number: int
@@ -277,11 +277,11 @@
     4: CancelMessage,
     30: ProbeMessage,
     31: ProbeAnswerMessage,
-    5: GoodbyeMessage,
-    10: ClaimAskMessage,
-    11: ClaimWordMessage,
-    12: MintMessage,
-    13: MintedMessage,
+    5: GoAwayMessage,
+    10: ClaimStatusRequestMessage,
+    11: ClaimStatusMessage,
+    12: TicketsRequestMessage,
+    13: TicketsMessage,
     20: VersionRequestMessage,
     21: VersionMessage,
     40: PingMessage,
@@ -291,12 +291,12 @@
     44: SnapshotRequestMessage,
     45: SnapshotMessage,
     50: RelayMessage,
-    51: RelayedMessage,
-    52: DeclinedMessage,
+    51: RelayAnswerMessage,
+    52: RelayRefusedMessage,
     53: ConfigRequestMessage,
     54: ConfigReplyMessage,
-    60: PieceMessage,
-    61: DropMessage,
+    60: FragmentMessage,
+    61: FragmentsAbortedMessage,
 }
 _NUMBERS = {cls: number for number, cls in _KINDS.items()}
 
@@ -355,18 +355,18 @@
     if isinstance(message, CallMessage):
         attempt = AttemptId(*message.attempt)
         return message._replace(attempt=attempt, headers=_pairs(message.headers))
-    if isinstance(message, ClaimAskMessage):
+    if isinstance(message, ClaimStatusRequestMessage):
         return message._replace(attempt=AttemptId(*message.attempt))
     if isinstance(message, AnswerMessage):
         load = LoadReport(*message.load)
         return message._replace(load=load, headers=_pairs(message.headers))
     if isinstance(message, ProbeAnswerMessage):
         return message._replace(load=LoadReport(*message.load))
-    if isinstance(message, RelayMessage | RelayedMessage):
+    if isinstance(message, RelayMessage | RelayAnswerMessage):
         return message._replace(headers=_pairs(message.headers))
     if isinstance(message, ConfigReplyMessage):
         return message._replace(evacuations=_read_evacuations(*message.evacuations))
-    if isinstance(message, DeclinedMessage):
+    if isinstance(message, RelayRefusedMessage):
         Code(message.code)
         Ran(message.ran)
         return message
--- a/packages/core/src/camphorshelf_core/placement.py
+++ b/packages/core/src/camphorshelf_core/placement.py
@@ -73,9 +73,9 @@
         # A failing target still answers as fast as it ever does: what fails there must not make a
         # request look late everywhere when all targets of its service fail a part.
         cost = (expected if is_near else expected * _FAR_FACTOR) * (
-            1 + _FAILURE_WEIGHT * status.failing
+            1 + _FAILURE_WEIGHT * status.failure_ratio
         )
-        is_sound = not view.is_silent(now) and status.failing < BROKEN_SHARE
+        is_sound = not view.is_silent(now) and status.failure_ratio < BROKEN_SHARE
         is_fresh = view.is_load_fresh(now)
         candidate = Candidate(status.address, expected, cost, wait, is_fresh, is_sound)
         if not is_sound:
@@ -128,20 +128,20 @@
     :return: True or False.
     """
     # What is pushed may be a tenth of a second old, and several entry nodes see the same free slot.
-    spare = _SPARE_SLOTS if view.pushes else 0
+    spare = _SPARE_SLOTS if view.pushes_load else 0
     status = view.status
     is_open = status.accepting and status.start_wait_s <= 0
     return is_open and _outstanding(view, now) + spare < status.limit
 
 
 def _is_load_known(view, now):
-    return view.pushes or now - view.heard_at <= _LOAD_SECONDS
+    return view.pushes_load or now - view.heard_at <= _LOAD_SECONDS
 
 
 def _outstanding(view, now):
     if not _is_load_known(view, now):
         return 0
-    return view.status.running + view.status.queued + view.unseen
+    return view.status.running + view.status.queued + view.requests_since_status
 
 
 def _usual_work(views):
--- a/packages/core/src/camphorshelf_core/storepollers.py
+++ b/packages/core/src/camphorshelf_core/storepollers.py
@@ -12,7 +12,7 @@
 from itertools import islice
 
 # Three: one may be gone and one without store access, and a change still comes at once.
-POLLERS = 3
+POLLER_COUNT = 3
 # With so many nodes without store access the store is most likely down for all: the others no
 # longer try in turn but at random, at a bounded rate for all nodes together.
 _OUTAGE_NODES = 12
@@ -32,7 +32,7 @@
     :return: True or False.
     """
     return (
-        _count_before(name, (other for other, lacks_access in others if not lacks_access)) < POLLERS
+        _count_before(name, (other for other, lacks_access in others if not lacks_access)) < POLLER_COUNT
     )
 
 
@@ -58,14 +58,14 @@
     :param others: as for :func:`is_poller`.
     :return: True or False.
     """
-    return _count_before(name, (other for other, _ in others)) < POLLERS
+    return _count_before(name, (other for other, _ in others)) < POLLER_COUNT
 
 
 def _count_before(name, others):
     # Counted as far as it matters: most nodes of a large fleet find enough among the first few.
     own = _rank(name)
     before = (other for other in others if _rank(other) < own)
-    return sum(1 for _ in islice(before, POLLERS))
+    return sum(1 for _ in islice(before, POLLER_COUNT))
 
 
 @lru_cache(maxsize=4096)
--- a/packages/core/src/camphorshelf_core/table.py
+++ b/packages/core/src/camphorshelf_core/table.py
@@ -24,14 +24,14 @@
     UNKNOWN = "unknown"
 
 
-class Written(NamedTuple):
+class WriteResult(NamedTuple):
     """A write's outcome; with ``LOST`` the row that stood in the way, if it was told."""
 
     outcome: WriteOutcome
     row: Row | None = None
 
 
-class Outage(NamedTuple):
+class ReadFailure(NamedTuple):
     """Why a read got no answer."""
 
     reason: str
--- a/packages/node/src/camphorshelf_node/claims.py
+++ b/packages/node/src/camphorshelf_node/claims.py
@@ -17,8 +17,8 @@
 from camphorshelf_core.claims import ClaimBook
 from camphorshelf_core.errors import Code, Ran, Refusal
 from camphorshelf_core.messages import (
-    ClaimAskMessage,
-    ClaimWordMessage,
+    ClaimStatusRequestMessage,
+    ClaimStatusMessage,
     pack_result,
     unpack_result,
 )
@@ -93,8 +93,8 @@
     def answer_ask(self, message, reply):
         """Tell a peer what became of an attempt of this node.
 
-        :param message: its :class:`ClaimAskMessage`.
-        :param reply: takes the :class:`ClaimWordMessage`.
+        :param message: its :class:`ClaimStatusRequestMessage`.
+        :param reply: takes the :class:`ClaimStatusMessage`.
         :return: None.
         """
         if message.attempt.incarnation != self._incarnation:
@@ -173,11 +173,11 @@
             done(None)
 
         timer = self._loop.call_later(wait + _LINK_SECONDS, give_up)
-        message = ClaimAskMessage(0, key.service, key.key, record.attempt, int(wait * 1000))
+        message = ClaimStatusRequestMessage(0, key.service, key.key, record.attempt, int(wait * 1000))
         cancel = self._dispatcher.link(record.address).call(message, done)
 
     def _heed(self, answer, record):
-        if isinstance(answer, ClaimWordMessage):
+        if isinstance(answer, ClaimStatusMessage):
             result = unpack_result(answer.answer, answer.refusal)
             return OwnerReply(OwnerState(answer.state), result)
         # Nobody answered. Only a newer record of the node proves that this incarnation is no
@@ -283,4 +283,4 @@
 
 
 def _word(reply):
-    return ClaimWordMessage(0, reply.state.value, *pack_result(reply.result))
+    return ClaimStatusMessage(0, reply.state.value, *pack_result(reply.result))
--- a/packages/node/src/camphorshelf_node/claimwriter.py
+++ b/packages/node/src/camphorshelf_node/claimwriter.py
@@ -43,7 +43,7 @@
         """Write a claim soon.
 
         :param action: the :class:`~camphorshelf_core.claimactions.WriteClaim`.
-        :param on_done: takes the :class:`Written`.
+        :param on_done: takes the :class:`WriteResult`.
         :return: None.
         """
         self._writes.append((self._make_put(action), on_done, 0))
--- a/packages/node/src/camphorshelf_node/join.py
+++ b/packages/node/src/camphorshelf_node/join.py
@@ -9,7 +9,7 @@
     CONTACT_ROWS,
     is_stale,
     poll_seconds,
-    random_start,
+    random_row_key,
     retry_seconds,
     row_key,
 )
@@ -86,7 +86,7 @@
             self._query(self._on_rows)
 
     def _query(self, on_rows):
-        start_after = random_start(self._random)
+        start_after = random_row_key(self._random)
         self._platform.query(PARTITION, on_rows, limit=CONTACT_ROWS, start_after=start_after)
 
     def _on_rows(self, rows):
--- a/packages/node/src/camphorshelf_node/links.py
+++ b/packages/node/src/camphorshelf_node/links.py
@@ -15,9 +15,9 @@
 from camphorshelf_core.messages import (
     AnswerMessage,
     CancelMessage,
-    DropMessage,
-    GoodbyeMessage,
-    PieceMessage,
+    FragmentsAbortedMessage,
+    GoAwayMessage,
+    FragmentMessage,
     RefusedMessage,
     decode,
     encode,
@@ -105,7 +105,7 @@
         for large in self._large:
             if large.call_id == call_id:
                 self._large.remove(large)
-                self.send(DropMessage(large.number))
+                self.send(FragmentsAbortedMessage(large.number))
                 return True
         return False
 
@@ -147,10 +147,10 @@
             self._on_message(message)
 
     def _assemble(self, message):
-        if isinstance(message, DropMessage):
+        if isinstance(message, FragmentsAbortedMessage):
             self._incoming.pop(message.number, None)
             return None
-        if not isinstance(message, PieceMessage):
+        if not isinstance(message, FragmentMessage):
             return message
         parts = self._incoming.setdefault(message.number, bytearray())
         parts += message.data
@@ -166,7 +166,7 @@
         while self._large and self._stream.unsent < _WINDOW_BYTES and not self._stream.closed:
             large = self._large.popleft()
             piece, is_last = large.take()
-            self._protocol.send_binary(encode(PieceMessage(large.number, is_last, piece)))
+            self._protocol.send_binary(encode(FragmentMessage(large.number, is_last, piece)))
             if not is_last:
                 self._large.append(large)
             self._flush()
@@ -293,7 +293,7 @@
         self._channel.start()
 
     def _on_message(self, message):
-        if isinstance(message, GoodbyeMessage):
+        if isinstance(message, GoAwayMessage):
             self._retired = True
             self._close_if_retired()
             return
@@ -348,7 +348,7 @@
 
         :return: None.
         """
-        self._channel.send(GoodbyeMessage())
+        self._channel.send(GoAwayMessage())
 
     def close(self):
         """Close at once.
--- a/packages/node/src/camphorshelf_node/node.py
+++ b/packages/node/src/camphorshelf_node/node.py
@@ -11,8 +11,8 @@
 from camphorshelf_core.invariants import Invariants
 from camphorshelf_core.messages import (
     CallMessage,
-    ClaimAskMessage,
-    MintMessage,
+    ClaimStatusRequestMessage,
+    TicketsRequestMessage,
     SnapshotRequestMessage,
     VersionRequestMessage,
 )
@@ -115,7 +115,7 @@
                 self._configuration,
             ),
             VersionRequestMessage: self._configuration.answer_peer,
-            MintMessage: self._desk.answer_mint,
+            TicketsRequestMessage: self._desk.answer_mint,
             SnapshotRequestMessage: self._join.answer_snapshot,
         }
         self._stopping = False
@@ -163,7 +163,7 @@
             self._desk,
             random.Random(self.incarnation),
         )
-        self._peer_handlers[ClaimAskMessage] = self._claims.answer_ask
+        self._peer_handlers[ClaimStatusRequestMessage] = self._claims.answer_ask
         filters = (
             make_call_id_filter(self.incarnation),
             keyed_filter,
--- a/packages/node/src/camphorshelf_node/platform.py
+++ b/packages/node/src/camphorshelf_node/platform.py
@@ -10,7 +10,7 @@
 from camphorshelf_core.calls import Request, header
 from camphorshelf_core.circuit import Circuit
 from camphorshelf_core.settings import split_address
-from camphorshelf_core.table import Outage, WriteOutcome
+from camphorshelf_core.table import ReadFailure, WriteOutcome
 
 from .httpclient import Failed, HttpClient
 from .rows import (
@@ -81,7 +81,7 @@
         :param key: the row's key in it.
         :param data: the row's bytes.
         :param expected: the version to replace, or None when there must be no row.
-        :param on_done: takes a :class:`Written`.
+        :param on_done: takes a :class:`WriteResult`.
         :param version: the new version; the expected one plus one if left out.
         :return: None.
         """
@@ -94,7 +94,7 @@
         """Write several rows in one transaction if each is still as expected.
 
         :param puts: :class:`~camphorshelf_node.rows.Put` of different rows.
-        :param on_done: takes a list of :class:`Written`, one for each; when a condition failed,
+        :param on_done: takes a list of :class:`WriteResult`, one for each; when a condition failed,
             those whose own held are ``NOT_APPLIED``.
         :param background: whether nobody waits for it.
         :return: None.
@@ -116,7 +116,7 @@
         :param partition: the row's partition.
         :param key: the row's key in it.
         :param data: the bytes that were read.
-        :param on_done: takes a :class:`Written`.
+        :param on_done: takes a :class:`WriteResult`.
         :return: None.
         """
         self._write("DeleteItem", describe_delete(partition, key, data), on_done, background=True)
@@ -127,7 +127,7 @@
         :param partition: the row's partition.
         :param key: the row's key in it.
         :param on_done: takes ``Success`` of a :class:`Row` or None (no such row), or ``Failure``
-            of an :class:`Outage`.
+            of an :class:`ReadFailure`.
         :return: None.
         """
         body = {
@@ -187,18 +187,18 @@
 
         :param path: its path, which starts with a slash.
         :param on_done: takes ``Success`` of its bytes or None (no such object), or ``Failure``
-            of an :class:`Outage`.
+            of an :class:`ReadFailure`.
         :return: None.
         """
         request = Request("GET", path.encode(), ((b"host", b"objects"),), b"")
 
         def done(result):
             if isinstance(result, Failed):
-                on_done(Failure(Outage(result.reason)))
+                on_done(Failure(ReadFailure(result.reason)))
             elif result.status in (200, 404):
                 on_done(Success(result.body if result.status == 200 else None))
             else:
-                on_done(Failure(Outage(f"the object store answered {result.status}")))
+                on_done(Failure(ReadFailure(f"the object store answered {result.status}")))
 
         self._send(self._objects, request, done)
 
--- a/packages/node/src/camphorshelf_node/rows.py
+++ b/packages/node/src/camphorshelf_node/rows.py
@@ -6,7 +6,7 @@
 
 from returns.result import Failure, Success
 
-from camphorshelf_core.table import Outage, Row, WriteOutcome, Written
+from camphorshelf_core.table import ReadFailure, Row, WriteOutcome, WriteResult
 
 from .httpclient import Failed
 
@@ -94,12 +94,12 @@
     """Read the answer to a read.
 
     :param result: the response, or :class:`Failed`.
-    :return: ``Success`` of the document, or ``Failure`` of an :class:`Outage`.
+    :return: ``Success`` of the document, or ``Failure`` of an :class:`ReadFailure`.
     """
     if isinstance(result, Failed):
-        return Failure(Outage(result.reason))
+        return Failure(ReadFailure(result.reason))
     if result.status != 200:
-        return Failure(Outage(f"the table service answered {result.status}"))
+        return Failure(ReadFailure(f"the table service answered {result.status}"))
     return Success(json.loads(result.body))
 
 
@@ -121,7 +121,7 @@
 
     :param result: the response, or :class:`Failed`.
     :param count: how many rows it was to write.
-    :return: a list of :class:`Written`, one for each row.
+    :return: a list of :class:`WriteResult`, one for each row.
     """
     if isinstance(result, Failed):
         return _all(WriteOutcome.UNKNOWN if result.sent else WriteOutcome.NOT_APPLIED, count)
@@ -133,7 +133,7 @@
     document = json.loads(result.body or b"{}")
     kind = document.get("__type", "")
     if kind.endswith(f"{_CONDITION_FAILED}Exception"):
-        return [Written(WriteOutcome.LOST, read_row(document.get("Item")))]
+        return [WriteResult(WriteOutcome.LOST, read_row(document.get("Item")))]
     if kind.endswith(_TRANSACTION_CANCELLED):
         return [_read_reason(reason) for reason in document["CancellationReasons"]]
     return _all(WriteOutcome.NOT_APPLIED, count)
@@ -141,9 +141,9 @@
 
 def _read_reason(reason):
     if reason["Code"] == _CONDITION_FAILED:
-        return Written(WriteOutcome.LOST, read_row(reason.get("Item")))
-    return Written(WriteOutcome.NOT_APPLIED)
+        return WriteResult(WriteOutcome.LOST, read_row(reason.get("Item")))
+    return WriteResult(WriteOutcome.NOT_APPLIED)
 
 
 def _all(outcome, count):
-    return [Written(outcome)] * count
+    return [WriteResult(outcome)] * count
--- a/packages/node/src/camphorshelf_node/tickets.py
+++ b/packages/node/src/camphorshelf_node/tickets.py
@@ -8,8 +8,8 @@
 from camphorshelf_core.messages import (
     AnswerMessage,
     CallMessage,
-    MintedMessage,
-    MintMessage,
+    TicketsMessage,
+    TicketsRequestMessage,
     pack_result,
     unpack_result,
 )
@@ -38,8 +38,8 @@
     def answer_mint(self, message, reply):
         """Mint tickets for an entry node.
 
-        :param message: its :class:`MintMessage`.
-        :param reply: takes the :class:`MintedMessage`.
+        :param message: its :class:`TicketsRequestMessage`.
+        :param reply: takes the :class:`TicketsMessage`.
         :return: None.
         """
         reply(self.mint(message))
@@ -47,8 +47,8 @@
     def mint(self, message):
         """Mint tickets.
 
-        :param message: the :class:`MintMessage`.
-        :return: the :class:`MintedMessage`.
+        :param message: the :class:`TicketsRequestMessage`.
+        :return: the :class:`TicketsMessage`.
         """
         target = self._gatekeeper.target
         if target is None or target.service != message.service:
@@ -59,7 +59,7 @@
             if isinstance(minted, Refusal):
                 break
             tickets.append(minted)
-        return MintedMessage(0, tuple(tickets), None) if tickets else _refuse_mint(minted)
+        return TicketsMessage(0, tuple(tickets), None) if tickets else _refuse_mint(minted)
 
     def run(self, call, on_done):
         """Run a call; one under a ticket only when it has not run.
@@ -155,7 +155,7 @@
             exchange.refuse(Refusal(Code.NO_TARGET, reason, retry_after_ms=_RETRY_MS))
             return
         member = self._random.choice(members)
-        message = MintMessage(0, exchange.service, _read_count(request.path))
+        message = TicketsRequestMessage(0, exchange.service, _read_count(request.path))
         if member.address == self._settings.listen.peers:
             self._give_tickets(exchange, self._desk.mint(message))
             return
@@ -173,7 +173,7 @@
         cancel = link.call(message, exchange.guard(done))
 
     def _give_tickets(self, exchange, answer):
-        if not isinstance(answer, MintedMessage):
+        if not isinstance(answer, TicketsMessage):
             reason = "the target's node did not answer"
             exchange.refuse(Refusal(Code.PEER_LOST, reason, retry_after_ms=_RETRY_MS))
             return
@@ -262,7 +262,7 @@
 
 
 def _refuse_mint(refusal):
-    return MintedMessage(0, (), pack_result(refusal)[1])
+    return TicketsMessage(0, (), pack_result(refusal)[1])
 
 
 def _read_count(path):
--- a/packages/relay/src/camphorshelf_relay/announcer.py
+++ b/packages/relay/src/camphorshelf_relay/announcer.py
@@ -13,13 +13,13 @@
 
 from camphorshelf_core.budget import TokenBucket
 from camphorshelf_core.hosts import (
-    CHANCE_BITS,
-    draw_incarnation,
-    is_push_size,
-    outbid_incarnation,
-    repeat_seconds,
+    RANDOM_BITS,
+    make_incarnation,
+    should_push_load,
+    make_newer_incarnation,
+    push_interval_seconds,
 )
-from camphorshelf_core.statusforms import Greeting, News, encode, encode_short, has_same_names
+from camphorshelf_core.hostdatagrams import Greeting, MemberUpdates, encode, encode_short_status, is_short_form_sufficient
 
 # Changes closer together than this go out as one.
 _LEAST_GAP_SECONDS = 0.025
@@ -65,7 +65,7 @@
         self._describe = describe
         self._send_to = send_to
         self._random = random
-        self._incarnation = draw_incarnation(
+        self._incarnation = make_incarnation(
             time_ns() // _NANOSECONDS_PER_MICROSECOND, _draw_chance()
         )
         self._sequence = 0
@@ -97,11 +97,11 @@
         :return: the :class:`~camphorshelf_core.hosts.HostStatus`.
         """
         self._sequence += 1
-        repeat_s = repeat_seconds(self._directory.size) if self._is_pushing else 0.0
+        repeat_s = push_interval_seconds(self._directory.size) if self._is_pushing else 0.0
         status = self._describe()._replace(
-            incarnation=self._incarnation, sequence=self._sequence, repeat_s=repeat_s
+            incarnation=self._incarnation, sequence=self._sequence, push_interval_s=repeat_s
         )
-        if self._last is None or not has_same_names(status, self._last):
+        if self._last is None or not is_short_form_sufficient(status, self._last):
             self._revision += 1
         self._last = status._replace(revision=self._revision)
         return self._last
@@ -184,7 +184,7 @@
         :return: None.
         """
         if incarnation > self._incarnation:
-            self._incarnation = outbid_incarnation(incarnation, _draw_chance())
+            self._incarnation = make_newer_incarnation(incarnation, _draw_chance())
             self._told = None
             self.refute()
 
@@ -195,7 +195,7 @@
         """
         self._update_mode()
         now = self._loop.now()
-        pause_s = repeat_seconds(self._directory.size) * _REPEAT_SHARE
+        pause_s = push_interval_seconds(self._directory.size) * _REPEAT_SHARE
         if self._is_pushing and now - self._all_told_at >= pause_s:
             self._push(must=True)
         self.greet([one for one in self._list_unmet(now) if self._is_greeting_due(one, now)])
@@ -209,7 +209,7 @@
         self._greeted_at.pop(address, None)
 
     def _update_mode(self):
-        is_pushing = is_push_size(self._directory.size, self._is_pushing)
+        is_pushing = should_push_load(self._directory.size, self._is_pushing)
         if is_pushing == self._is_pushing:
             return
         self._is_pushing = is_pushing
@@ -286,7 +286,7 @@
 
     def _send_news(self, addresses, must_forward, items):
         for first in range(0, len(items), _ITEMS_PER_DATAGRAM):
-            data = encode(News(must_forward, tuple(items[first : first + _ITEMS_PER_DATAGRAM])))
+            data = encode(MemberUpdates(must_forward, tuple(items[first : first + _ITEMS_PER_DATAGRAM])))
             self._send_to_each(addresses, data)
 
     def _has_changed(self, status):
@@ -335,14 +335,14 @@
         told, status = self._told, self.next_status()
         self._told, self._told_at = status, now
         is_due = now - self._whole_at >= _WHOLE_SECONDS
-        if told is None or is_due or not has_same_names(status, told):
+        if told is None or is_due or not is_short_form_sufficient(status, told):
             self._whole_at = now
             return encode(status)
-        return encode_short(status)
+        return encode_short_status(status)
 
 
 def _draw_chance():
-    return secrets.randbits(CHANCE_BITS)
+    return secrets.randbits(RANDOM_BITS)
 
 
 def _standing(status):
--- a/packages/relay/src/camphorshelf_relay/configkeeper.py
+++ b/packages/relay/src/camphorshelf_relay/configkeeper.py
@@ -154,7 +154,7 @@
         if not self._is_newer(status):
             return
         is_near = status.domain == self._settings.domain
-        if self.config is None or is_near or is_forwarded or view.pushes:
+        if self.config is None or is_near or is_forwarded or view.pushes_load:
             self._fetch(status)
         elif self._fetch_timer is None:
             self._fetch_timer = self._loop.call_later(
--- a/packages/relay/src/camphorshelf_relay/gate.py
+++ b/packages/relay/src/camphorshelf_relay/gate.py
@@ -25,15 +25,15 @@
         """Run a request, let it wait, or decline it.
 
         :param message: the :class:`~camphorshelf_core.messages.RelayMessage`.
-        :param reply: takes a :class:`~camphorshelf_core.messages.RelayedMessage` or a
-            :class:`~camphorshelf_core.messages.DeclinedMessage`, once.
+        :param reply: takes a :class:`~camphorshelf_core.messages.RelayAnswerMessage` or a
+            :class:`~camphorshelf_core.messages.RelayRefusedMessage`, once.
         :return: a function that breaks it off, or None when it is answered already.
         """
         run = Run(self, self._loop, message, reply)
         if not self.target.accepting or message.service != self._settings.service:
             run.decline(Code.NO_TARGET, self.target.closed_reason, Ran.NOT_RUN)
             return None
-        if self._ends_at is not None and self._loop.now() + message.left_s > self._ends_at:
+        if self._ends_at is not None and self._loop.now() + message.remaining_s > self._ends_at:
             run.decline(Code.NO_TARGET, "the node may end before the request", Ran.NOT_RUN)
             return None
         if self.crashes.is_refused(run.fingerprint):
--- a/packages/relay/src/camphorshelf_relay/listeners.py
+++ b/packages/relay/src/camphorshelf_relay/listeners.py
@@ -2,7 +2,7 @@
 
 from camphorshelf_core.calls import Response
 from camphorshelf_core.errors import Code, Ran
-from camphorshelf_core.messages import DeclinedMessage, RelayMessage
+from camphorshelf_core.messages import RelayRefusedMessage, RelayMessage
 from camphorshelf_node.http import HttpConnection
 from camphorshelf_node.links import KERNEL_SILENCE_SECONDS, PeerServer
 from camphorshelf_node.streams import listen
@@ -153,9 +153,9 @@
         # when they were sent: their callers are gone, and the target would work for nobody.
         held_up = offset - least_offset
         message = message._replace(
-            left_s=message.left_s - held_up, objective_s=message.objective_s - held_up
+            remaining_s=message.remaining_s - held_up, objective_s=message.objective_s - held_up
         )
-        if message.left_s < _LEAST_SECONDS:
+        if message.remaining_s < _LEAST_SECONDS:
             reply(_decline(Code.DEADLINE_UNREACHABLE, "it was held up on the way", Ran.NOT_RUN))
             return None
         try:
@@ -205,4 +205,4 @@
 
 
 def _decline(code, reason, ran):
-    return DeclinedMessage(0, int(code), reason, ran.value, 0.0, ran is not Ran.NOT_RUN)
+    return RelayRefusedMessage(0, int(code), reason, ran.value, 0.0, ran is not Ran.NOT_RUN)
--- a/packages/relay/src/camphorshelf_relay/peers.py
+++ b/packages/relay/src/camphorshelf_relay/peers.py
@@ -11,17 +11,17 @@
     Suspicion,
 )
 from camphorshelf_core.hosts import HostStatus
-from camphorshelf_core.statusforms import (
+from camphorshelf_core.hostdatagrams import (
     Addresses,
     AddressesRequest,
     Greeting,
-    News,
+    MemberUpdates,
     ProbeRequest,
     StatusRequest,
-    UnknownShort,
+    UnresolvedShortStatus,
     decode,
     encode,
-    encode_short,
+    encode_short_status,
     split_addresses,
 )
 
@@ -82,8 +82,8 @@
             HostStatus: lambda status, ip: self._on_status(status),
             Greeting: self._on_greeting,
             StatusRequest: self._on_status_request,
-            UnknownShort: self._on_unknown_short,
-            News: self._on_news,
+            UnresolvedShortStatus: self._on_unknown_short,
+            MemberUpdates: self._on_news,
             ProbeRequest: self._on_probe_request,
             AddressesRequest: self._on_addresses_request,
             Addresses: lambda message, ip: self._on_addresses(message),
@@ -146,7 +146,7 @@
         found = [
             address
             for address in addresses
-            if address != self._own_address and self._directory.learn(address, now)
+            if address != self._own_address and self._directory.add_address(address, now)
         ]
         for address in found:
             self._log.notable("host_found", address=address)
@@ -203,8 +203,8 @@
             request = StatusRequest(status.incarnation, status.revision, is_suspected)
             if view.probed_at is None:
                 view.probed_at = now
-            if not view.pushes:
-                self._detector.note_probe(address, now)
+            if not view.pushes_load:
+                self._detector.record_probe(address, now)
         self._send_to(address, encode(request))
 
     def _tick_after(self, steps):
@@ -269,7 +269,7 @@
         status = self._announcer.next_status()
         is_known = request.incarnation == status.incarnation
         short = is_known and request.revision == status.revision
-        self._datagrams.send(ip, encode_short(status) if short else encode(status))
+        self._datagrams.send(ip, encode_short_status(status) if short else encode(status))
         if request.is_suspected and is_known:
             self._announcer.refute()
 
@@ -325,12 +325,12 @@
         self.counts["received"] += 1
         now = self._loop.now()
         was_forgotten = status.address in self._directory.forgotten
-        if not self._directory.take(status, now):
+        if not self._directory.apply_status(status, now):
             return False
         if was_forgotten:
             self._seek_forgotten(_SOUGHT_AT_ONCE)
         self._incarnations[status.incarnation] = status.address
-        self._detector.note_heard(status.address)
+        self._detector.record_contact(status.address)
         self._prober.note_heard(status.address)
         for ip in self._indirect_probes.pop(status.address, ()):
             self._datagrams.send(ip, encode(status))
--- a/packages/relay/src/camphorshelf_relay/relay.py
+++ b/packages/relay/src/camphorshelf_relay/relay.py
@@ -5,7 +5,7 @@
 from camphorshelf_core.hedging import hedge_delays
 from camphorshelf_core.jobs import LatePolicy
 from camphorshelf_core.loadprobes import MAX_PROBE_ROUNDS, put_unanswered_last
-from camphorshelf_core.messages import DeclinedMessage, RelayedMessage, RelayMessage
+from camphorshelf_core.messages import RelayRefusedMessage, RelayAnswerMessage, RelayMessage
 from camphorshelf_core.placement import rank
 from camphorshelf_core.retry import FAILURE_STATUSES
 from camphorshelf_core.retryafter import retry_after, retry_after_shed
@@ -125,7 +125,7 @@
             idempotent=self._route.idempotent,
             priority=self._route.priority,
             objective_s=self._objective_at - now,
-            left_s=self._expires_at - now,
+            remaining_s=self._expires_at - now,
             work_s=self._facts.work_s,
             late_policy=int(late_policy),
             request_id=self._terms.request_id,
@@ -161,7 +161,7 @@
         """Take a target's answer.
 
         :param offer: the offer that it answers.
-        :param message: the :class:`~camphorshelf_core.messages.RelayedMessage`.
+        :param message: the :class:`~camphorshelf_core.messages.RelayAnswerMessage`.
         :return: None.
         """
         self._running.pop(offer, None)
@@ -188,7 +188,7 @@
         """Take the word that an offer got no answer.
 
         :param offer: the offer.
-        :param message: the :class:`~camphorshelf_core.messages.DeclinedMessage` or
+        :param message: the :class:`~camphorshelf_core.messages.RelayRefusedMessage` or
             :class:`~camphorshelf_core.errors.Refusal` of the link.
         :return: None.
         """
@@ -348,9 +348,9 @@
         self.expected_s = candidate.expected_s
 
     def on_message(self, message):
-        if isinstance(message, RelayedMessage):
+        if isinstance(message, RelayAnswerMessage):
             self._relay.on_relayed(self, message)
-        elif isinstance(message, DeclinedMessage | Refusal):
+        elif isinstance(message, RelayRefusedMessage | Refusal):
             self._relay.on_declined(self, message)
         else:
             raise TypeError(f"not an answer to a request: {type(message).__name__}")
--- a/packages/relay/src/camphorshelf_relay/router.py
+++ b/packages/relay/src/camphorshelf_relay/router.py
@@ -171,7 +171,7 @@
         """
         view = self._peers.directory.view(address)
         if view is not None:
-            view.unseen += 1
+            view.requests_since_status += 1
 
     def refuse(self, exchange, request_id, refusal, route, **fields):
         """Give a caller the final refusal of its request.
--- a/packages/relay/src/camphorshelf_relay/run.py
+++ b/packages/relay/src/camphorshelf_relay/run.py
@@ -3,7 +3,7 @@
 from camphorshelf_core.calls import Request
 from camphorshelf_core.errors import Code, Ran
 from camphorshelf_core.jobs import Job, LatePolicy
-from camphorshelf_core.messages import DeclinedMessage, RelayedMessage
+from camphorshelf_core.messages import RelayRefusedMessage, RelayAnswerMessage
 from camphorshelf_core.retry import FAILURE_STATUSES
 
 from .targetconnection import Answered
@@ -29,7 +29,7 @@
         self._reply = reply
         self.fingerprint = gate.crashes.name(message)
         self._arrived = loop.now()
-        self._expires_at = self._arrived + message.left_s
+        self._expires_at = self._arrived + message.remaining_s
         self._started = None
         self._slowness = 1.0
         self._abort = None
@@ -53,7 +53,7 @@
         if not result.admitted:
             self.decline(Code.TARGET_BUSY, "no slot in time", Ran.NOT_RUN, result.wait_s)
             return None
-        self._timer = self._loop.call_later(max(0.0, self._message.left_s), self._on_expiry)
+        self._timer = self._loop.call_later(max(0.0, self._message.remaining_s), self._on_expiry)
         return self.cancel
 
     def cancel(self):
@@ -84,7 +84,7 @@
         self._release()
         self._gate.count(code.name.lower())
         self._log_decline(code, ran, wait_s)
-        reply(DeclinedMessage(0, int(code), reason, ran.value, wait_s, reached))
+        reply(RelayRefusedMessage(0, int(code), reason, ran.value, wait_s, reached))
 
     def _log_decline(self, code, ran, wait_s):
         gate = self._gate
@@ -200,7 +200,7 @@
         self._gate.count("answered")
         self._gate.on_answer(waited_s, ran_s)
         reply(
-            RelayedMessage(
+            RelayAnswerMessage(
                 0,
                 response.status,
                 response.headers,
--- a/packages/relay/src/camphorshelf_relay/target.py
+++ b/packages/relay/src/camphorshelf_relay/target.py
@@ -156,7 +156,7 @@
             return False
         before = self._record.instance, self._record.leaving
         started_ms = self._record.started_ms
-        taken = self._record.beat(heartbeat, self._loop.now())
+        taken = self._record.record_heartbeat(heartbeat, self._loop.now())
         if taken:
             self._note_announced(heartbeat, before[0], started_ms)
         if taken and heartbeat.slots != self._admission.slots:
@@ -176,7 +176,7 @@
         :param started_ms: when it started, Unix milliseconds, or None.
         :return: None.
         """
-        if self._record.leave(instance, started_ms):
+        if self._record.record_leaving(instance, started_ms):
             self._settle("farewell")
 
     def note_word(self, word):
@@ -227,7 +227,7 @@
         if not self._record.down:
             if not self._record.leaving:
                 self._on_crash()
-            self._record.seen_down()
+            self._record.record_unreachable()
             self._settle("unreachable")
 
     def note_other(self, instance):
@@ -236,7 +236,7 @@
         :param instance: its id, empty when it was not named.
         :return: None.
         """
-        self._record.seen_elsewhere(instance)
+        self._record.record_other_instance(instance)
         self.note_lost()
         self._settle("another process")
 
@@ -260,9 +260,9 @@
         word = answered.word
         before = self._record.usable, self._record.instance
         if answered.response.status == 200 and word.instance:
-            self._record.seen_healthy(word.instance)
+            self._record.record_healthy(word.instance)
         else:
-            self._record.seen_unhealthy(word.instance)
+            self._record.record_unhealthy(word.instance)
         self._note_told(word, before[1])
         self.note_word(word)
         if (self._record.usable, self._record.instance) != before:
--- a/tests/features/steps/claims_model_steps.py
+++ b/tests/features/steps/claims_model_steps.py
@@ -8,7 +8,7 @@
 from camphorshelf_core.claimrecords import ClaimKey, ClaimRecord, RecordState, pack_record
 from camphorshelf_core.claims import ClaimBook, Waiter
 from camphorshelf_core.errors import Ran
-from camphorshelf_core.table import Outage, Row, WriteOutcome, Written
+from camphorshelf_core.table import ReadFailure, Row, WriteOutcome, WriteResult
 from models.claims import make_model
 from soak import claims_mutants
 from soak.claims import ClaimsMachine
@@ -96,14 +96,14 @@
     book = Process(None, "a", "a1", book_class).book
     (write,) = book.submit(_KEY, b"d", Waiter("first"), 0.0)
     void = ClaimRecord(AttemptId("b1", 1), "b", "b", b"d", RecordState.VOIDED)
-    lost = Written(WriteOutcome.LOST, Row(pack_record(void), 7))
+    lost = WriteResult(WriteOutcome.LOST, Row(pack_record(void), 7))
     (takeover,) = book.on_written(_KEY, write.record.attempt, lost)
     assert takeover.expected == 7
     # Here another node takes the void claim over, runs it and answers its caller.
     assert book.submit(_KEY, b"d", Waiter("late"), 0.0) == []
     attempt = takeover.record.attempt
-    book.on_written(_KEY, attempt, Written(WriteOutcome.UNKNOWN))
-    settled = book.on_read(_KEY, attempt, Failure(Outage("lost")))
+    book.on_written(_KEY, attempt, WriteResult(WriteOutcome.UNKNOWN))
+    settled = book.on_read(_KEY, attempt, Failure(ReadFailure("lost")))
     (result,) = [one.result for one in settled if getattr(one, "token", None) == "late"]
     assert not isinstance(result, Response)
     return result.ran
--- a/tests/features/steps/config_reads_steps.py
+++ b/tests/features/steps/config_reads_steps.py
@@ -9,7 +9,7 @@
 from camphorshelf_core.directory import HostDirectory
 from camphorshelf_core.messages import ConfigRequestMessage
 from camphorshelf_core.routes import RoutingConfig
-from camphorshelf_core.storepollers import POLLERS, is_poller
+from camphorshelf_core.storepollers import POLLER_COUNT, is_poller
 from camphorshelf_relay.announcer import Reach
 from camphorshelf_relay.configkeeper import ConfigKeeper
 from camphorshelf_relay.storeport import StoredRow, StoreFailure, StoreRows, Trouble
@@ -129,7 +129,7 @@
     store.answers = False
     keeper = ConfigKeeper(loop, _Settings(), store, peers, None, random.Random(1), _Log())
     for number in range(count):
-        peers.directory.take(make_status(f"h{number}", lacks_store_access=True), 1_000.0)
+        peers.directory.apply_status(make_status(f"h{number}", lacks_store_access=True), 1_000.0)
     keeper.config = RoutingConfig(1, (), {}, None)
     context.loop, context.store, context.keeper, context.peers = loop, store, keeper, peers
     keeper.start("op", "config")
@@ -171,8 +171,8 @@
 @when("it hears of a newer version at a host of {domain} that {forwarding}")
 def hears_version(context, domain, forwarding):
     directory = context.keeper._peers.directory
-    status = make_status("h1", domain=_DOMAINS[domain], config_version=8, repeat_s=0.0)
-    directory.take(status, context.keeper._loop.now())
+    status = make_status("h1", domain=_DOMAINS[domain], config_version=8, push_interval_s=0.0)
+    directory.apply_status(status, context.keeper._loop.now())
     context.keeper.hear(directory.view("h1"), forwarding == "it hands on itself")
 
 
@@ -251,9 +251,9 @@
         for other in names:
             if other != name:
                 status = make_status(
-                    other, lacks_store_access=other in ranked[:denied], repeat_s=0.0
+                    other, lacks_store_access=other in ranked[:denied], push_interval_s=0.0
                 )
-                peers.directory.take(status, loop.now())
+                peers.directory.apply_status(status, loop.now())
         keeper.start("op", "config")
         context.fleet.append((loop, store))
 
@@ -264,7 +264,7 @@
     def count(name):
         others = [(other, False) for other in names if other != name]
         # A name has as many before it as can be left in until it no longer reads.
-        return sum(not is_poller(name, [other] * POLLERS) for other in others)
+        return sum(not is_poller(name, [other] * POLLER_COUNT) for other in others)
 
     return count
 
--- a/tests/features/steps/evacuation_steps.py
+++ b/tests/features/steps/evacuation_steps.py
@@ -14,8 +14,8 @@
 from camphorshelf_core.jobs import LatePolicy
 from camphorshelf_core.messages import (
     ConfigReplyMessage,
-    DeclinedMessage,
-    RelayedMessage,
+    RelayRefusedMessage,
+    RelayAnswerMessage,
     RelayMessage,
     decode,
     encode,
@@ -149,7 +149,7 @@
     keeper, other = context.keeper, context.other
     version = other.evacuations.held.changed_at
     status = make_status("h2", config_version=0, evacuation_version=version)
-    keeper._peers.directory.take(status, keeper._loop.now())
+    keeper._peers.directory.apply_status(status, keeper._loop.now())
     keeper.hear(keeper._peers.directory.view("h2"))
 
 
@@ -226,7 +226,7 @@
         idempotent=True,
         priority=1,
         objective_s=1.0,
-        left_s=left_s,
+        remaining_s=left_s,
         work_s=0.1,
         late_policy=int(LatePolicy.REJECT),
         request_id=name,
@@ -292,7 +292,7 @@
     assert not context.target.accepting
     _let_in(context, "offered")
     name, answer = context.answers[-1]
-    assert name == "offered" and isinstance(answer, DeclinedMessage)
+    assert name == "offered" and isinstance(answer, RelayRefusedMessage)
     assert answer.ran == Ran.NOT_RUN.value
 
 
@@ -301,7 +301,7 @@
     for number, stream in enumerate(_sent(context)):
         _answer(stream, f"run-{number}")
     context.loop.advance(0.01)
-    relayed = [answer for _, answer in context.answers if isinstance(answer, RelayedMessage)]
+    relayed = [answer for _, answer in context.answers if isinstance(answer, RelayAnswerMessage)]
     assert len(relayed) == count, context.answers
 
 
@@ -319,7 +319,7 @@
 
 @then("the queued requests were declined as not run and none of them was sent")
 def check_queue_declined(context):
-    declined = {name for name, answer in context.answers if isinstance(answer, DeclinedMessage)}
+    declined = {name for name, answer in context.answers if isinstance(answer, RelayRefusedMessage)}
     assert declined == {f"queued-{number}" for number in range(context.queued)}, declined
     _check_never_sent(context, "queued")
 
@@ -327,7 +327,7 @@
 @then("the request was declined as not run and never sent")
 def check_late_declined(context):
     ((name, answer),) = context.answers
-    assert isinstance(answer, DeclinedMessage) and answer.ran == Ran.NOT_RUN.value
+    assert isinstance(answer, RelayRefusedMessage) and answer.ran == Ran.NOT_RUN.value
     _check_never_sent(context, name)
 
 
@@ -358,7 +358,7 @@
     for domain in (first, second):
         for number in range(3):
             status = make_status(f"{domain}:{number}", domain=domain)
-            peers.directory.take(status, loop.now())
+            peers.directory.apply_status(status, loop.now())
     settings = SETTINGS._replace(service="desk")
     context.router = Router(
         loop, settings, DIALECT, context.keeper, peers, None, None, random.Random(1), _Log()
--- a/tests/features/steps/failure_detection_steps.py
+++ b/tests/features/steps/failure_detection_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from camphorshelf_core.statusforms import News, encode
+from camphorshelf_core.hostdatagrams import MemberUpdates, encode
 from standins.fleet import Fleet
 
 _START_SECONDS = 3.0
@@ -83,7 +83,7 @@
         fleet.run(_SECOND + hundredth / 100)
         view = peers.directory.view(silent)
         view.suspected_at, view.heard_at = None, fleet.loop.now()
-        peers._detector.note_heard(silent)
+        peers._detector.record_contact(silent)
         context.waits.append(_wait_for_second_probe(fleet, peers, silent))
 
 
@@ -233,7 +233,7 @@
     _pass_time(context, 1.0)
     context.changed, context.observer = fleet.start(0), fleet.start(1)
     _pass_time(context, 2.0)
-    context.observer.peers.receive(encode(News(False, (old,))), fleet.hosts[2].ip)
+    context.observer.peers.receive(encode(MemberUpdates(False, (old,))), fleet.hosts[2].ip)
 
 
 @then("the second one never loses sight of the first one's new process for {seconds:d} s")
--- a/tests/features/steps/held_up_steps.py
+++ b/tests/features/steps/held_up_steps.py
@@ -34,7 +34,7 @@
         idempotent=True,
         priority=1,
         objective_s=left,
-        left_s=left,
+        remaining_s=left,
         work_s=0.1,
         late_policy=1,
         request_id="r1",
@@ -49,12 +49,12 @@
 
 @then("the first runs with {left:f} s left")
 def first_runs(context, left):
-    assert abs(context.gate.runs[0].left_s - left) < 0.01, context.gate.runs
+    assert abs(context.gate.runs[0].remaining_s - left) < 0.01, context.gate.runs
 
 
 @then("the second runs with {left:f} s left")
 def second_runs(context, left):
-    assert abs(context.gate.runs[1].left_s - left) < 0.01, context.gate.runs
+    assert abs(context.gate.runs[1].remaining_s - left) < 0.01, context.gate.runs
 
 
 @then("the second is declined as not run")
--- a/tests/features/steps/instances_steps.py
+++ b/tests/features/steps/instances_steps.py
@@ -17,7 +17,7 @@
     heartbeat = Heartbeat(
         instance, started, sequence, "counter", "127.0.0.1:1", 9, _STATES[state], 0.0
     )
-    _record(context).beat(heartbeat, 0.0)
+    _record(context).record_heartbeat(heartbeat, 0.0)
 
 
 @given('a heartbeat {sequence:d} of "{instance}" that is {state}')
@@ -35,23 +35,23 @@
 @given('"{instance}" says farewell')
 @when('"{instance}" says farewell')
 def farewell(context, instance):
-    _record(context).leave(instance)
+    _record(context).record_leaving(instance)
 
 
 @when('the health path answers well as "{instance}"')
 def healthy(context, instance):
-    _record(context).seen_healthy(instance)
+    _record(context).record_healthy(instance)
 
 
 @given('the health path says no as "{instance}"')
 @when('the health path says no as "{instance}"')
 def unhealthy(context, instance):
-    _record(context).seen_unhealthy(instance)
+    _record(context).record_unhealthy(instance)
 
 
 @when("the target takes no connection")
 def down(context):
-    _record(context).seen_down()
+    _record(context).record_unreachable()
 
 
 @then("no work is handed over")
--- a/tests/features/steps/join_steps.py
+++ b/tests/features/steps/join_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 from returns.result import Success
 
-from camphorshelf_core.join import CONTACT_ROWS, poll_seconds, random_start, retry_seconds, row_key
+from camphorshelf_core.join import CONTACT_ROWS, poll_seconds, random_row_key, retry_seconds, row_key
 from camphorshelf_core.roster import Member, MemberState, pack_member
 from camphorshelf_core.settings import ListenSettings, PlatformSettings, Settings
 from camphorshelf_node.gossip import Gossip
@@ -133,7 +133,7 @@
     rng = random.Random(9)
     seen = Counter()
     for _ in range(pages):
-        start = random_start(rng)
+        start = random_row_key(rng)
         after = [key for key in context.keys if key > start]
         seen.update((after + context.keys)[:CONTACT_ROWS])
     assert max(seen.values()) <= most, max(seen.values())
--- a/tests/features/steps/limit_log_steps.py
+++ b/tests/features/steps/limit_log_steps.py
@@ -94,7 +94,7 @@
             idempotent=True,
             priority=1,
             objective_s=0.2,
-            left_s=1.2,
+            remaining_s=1.2,
             work_s=_WORK,
             late_policy=LatePolicy.REJECT,
             request_id=str(number),
--- a/tests/features/steps/load_probes_steps.py
+++ b/tests/features/steps/load_probes_steps.py
@@ -26,7 +26,7 @@
         self.now = 0.0
         self.slowness = [self._draw() for _ in range(count)]
         self.views = [
-            make_view(make_status(f"h{one}", repeat_s=0.0), -random.random())
+            make_view(make_status(f"h{one}", push_interval_s=0.0), -random.random())
             for one in range(count)
         ]
 
@@ -46,7 +46,7 @@
         status = view.status._replace(
             sequence=view.status.sequence + 1, slowness=self.slowness[index]
         )
-        view.take(status, self.now)
+        view.apply(status, self.now)
 
     def rank(self):
         return rank(self.views, _WORK_SECONDS, self.now, "a", _OBJECTIVE_SECONDS)
@@ -103,7 +103,7 @@
 @given("{count:d} hosts of one service, all idle and heard {when}")
 def idle_hosts(context, count, when):
     heard_at = 0.0 if when == "just now" else -1.0
-    views = [make_view(make_status(f"h{one}", repeat_s=0.0), heard_at) for one in range(count)]
+    views = [make_view(make_status(f"h{one}", push_interval_s=0.0), heard_at) for one in range(count)]
     context.views = views
     context.candidates = rank(views, _WORK_SECONDS, 0.0, "a", _OBJECTIVE_SECONDS)
 
@@ -141,8 +141,8 @@
     context.directory = HostDirectory()
     context.names = ["h0", "h1", "h2"]
     for name in context.names:
-        context.directory.take(
-            make_status(name, slowness=4.0, repeat_s=0.0), context.loop.now() - 1.0
+        context.directory.apply_status(
+            make_status(name, slowness=4.0, push_interval_s=0.0), context.loop.now() - 1.0
         )
     context.sent = []
     context.prober = Prober(
@@ -172,7 +172,7 @@
     for name in names:
         status = context.directory.view(name).status
         changed = status._replace(sequence=status.sequence + 1, **changes)
-        context.directory.take(changed, context.loop.now())
+        context.directory.apply_status(changed, context.loop.now())
         context.prober.note_heard(name)
 
 
--- a/tests/features/steps/placement_steps.py
+++ b/tests/features/steps/placement_steps.py
@@ -29,7 +29,7 @@
 
 @given('{count:d} requests were sent to "{name}" since its last status')
 def unseen(context, count, name):
-    context.views[name].unseen = count
+    context.views[name].requests_since_status = count
 
 
 def _change(context, name, **changes):
@@ -44,7 +44,7 @@
 
 @given('"{name}" failed {share:f} of its requests')
 def failing(context, name, share):
-    _change(context, name, failing=share)
+    _change(context, name, failure_ratio=share)
 
 
 @given('"{name}" was last heard {seconds:f} s ago')
--- a/tests/features/steps/statuses_steps.py
+++ b/tests/features/steps/statuses_steps.py
@@ -6,24 +6,24 @@
 from camphorshelf_core.directory import HostDirectory
 from camphorshelf_core.failuredetector import Suspicion
 from camphorshelf_core.hosts import (
-    CHANCE_BITS,
+    RANDOM_BITS,
     HostStatus,
     HostView,
-    draw_incarnation,
-    outbid_incarnation,
-    repeat_seconds,
+    make_incarnation,
+    make_newer_incarnation,
+    push_interval_seconds,
 )
-from camphorshelf_core.statusforms import (
+from camphorshelf_core.hostdatagrams import (
     Addresses,
     AddressesRequest,
     Greeting,
-    News,
+    MemberUpdates,
     ProbeRequest,
     StatusRequest,
-    UnknownShort,
+    UnresolvedShortStatus,
     decode,
     encode,
-    encode_short,
+    encode_short_status,
 )
 from standins.hosts import make_status
 
@@ -53,7 +53,7 @@
 
     status = decode(data, find)
     if isinstance(status, HostStatus):
-        context.directory.take(status, 1.0)
+        context.directory.apply_status(status, 1.0)
     return status
 
 
@@ -69,7 +69,7 @@
 @when("it sends the short form of a status with {running:d} running and slowness {slowness:f}")
 def short_form(context, running, slowness):
     changed = _USUAL._replace(sequence=11, running=running, slowness=slowness)
-    _deliver(context, encode_short(changed))
+    _deliver(context, encode_short_status(changed))
 
 
 @then("{running:d} running and slowness {slowness:f} are held of it, and its names as before")
@@ -80,14 +80,14 @@
 
 @then("the short form is at most {most:d} bytes and a quarter of the whole one")
 def check_size(context, most):
-    short, whole = len(encode_short(_USUAL)), len(encode(_USUAL))
+    short, whole = len(encode_short_status(_USUAL)), len(encode(_USUAL))
     assert short <= most and short * 4 <= whole + 20, (short, whole)
 
 
 @when("its next process sends the short form first")
 def next_short(context):
     next_one = _USUAL._replace(incarnation="ffffffffffff", sequence=1)
-    context.status = _deliver(context, encode_short(next_one))
+    context.status = _deliver(context, encode_short_status(next_one))
 
 
 @when("a datagram of {content} arrives")
@@ -97,7 +97,7 @@
 
 @then("nothing of it is held")
 def nothing_held(context):
-    assert context.status in (None, UnknownShort()), context.status
+    assert context.status in (None, UnresolvedShortStatus()), context.status
 
 
 @when("a later one and then an earlier one arrive")
@@ -124,18 +124,18 @@
 
 @then("an incarnation is greater than one that was drawn a microsecond earlier")
 def check_drawn(context):
-    chances = 0, 1, 2**CHANCE_BITS - 1
+    chances = 0, 1, 2**RANDOM_BITS - 1
     for at in (0, 63, 1_780_000_000_000_000, 2**52 - 2):
-        earlier = [draw_incarnation(at, chance) for chance in chances]
-        later = [draw_incarnation(at + 1, chance) for chance in chances]
+        earlier = [make_incarnation(at, chance) for chance in chances]
+        later = [make_incarnation(at + 1, chance) for chance in chances]
         assert max(earlier) < min(later), (earlier, later)
         assert {len(one) for one in earlier + later} == {len(_USUAL.incarnation)}
 
 
 @then("one that outbids another is greater, and two that outbid the same one differ")
 def check_outbid(context):
-    other = draw_incarnation(1_780_000_000_000_000, 5)
-    outbid = [outbid_incarnation(other, chance) for chance in (0, 1, 2**CHANCE_BITS - 1)]
+    other = make_incarnation(1_780_000_000_000_000, 5)
+    outbid = [make_newer_incarnation(other, chance) for chance in (0, 1, 2**RANDOM_BITS - 1)]
     assert min(outbid) > other and len(set(outbid)) == len(outbid), outbid
 
 
@@ -146,26 +146,26 @@
 
 @then("a host that repeats its status is not silent until the next one but one")
 def heard_between(context):
-    repeat_s = repeat_seconds(context.others)
+    repeat_s = push_interval_seconds(context.others)
     view = HostView()
-    view.take(_USUAL._replace(repeat_s=repeat_s), 0.0)
+    view.apply(_USUAL._replace(push_interval_s=repeat_s), 0.0)
     assert not view.is_silent(repeat_s * 2.25)
 
 
 @when("another revision of its names is told in the short form")
 def other_revision(context):
-    context.status = _deliver(context, encode_short(_USUAL._replace(sequence=11, revision=2)))
+    context.status = _deliver(context, encode_short_status(_USUAL._replace(sequence=11, revision=2)))
 
 
 @then("the whole form has to be asked for")
 def must_ask(context):
-    assert context.status == UnknownShort(), context.status
+    assert context.status == UnresolvedShortStatus(), context.status
 
 
 _MESSAGES = {
     "probe": StatusRequest("0a1b2c3d4e5f", 3, True),
     "greeting": Greeting(_USUAL),
-    "news": News(True, (_USUAL, Suspicion(_ADDRESS, "0a1b2c3d4e5f"))),
+    "news": MemberUpdates(True, (_USUAL, Suspicion(_ADDRESS, "0a1b2c3d4e5f"))),
     "probe request": ProbeRequest(_ADDRESS),
     "addresses request": AddressesRequest(),
     "addresses": Addresses(2, (_ADDRESS, "10.1.0.12:8624")),
--- a/tests/soak/claims_world.py
+++ b/tests/soak/claims_world.py
@@ -13,7 +13,7 @@
 from camphorshelf_core.errors import Code, Ran, Refusal
 from camphorshelf_core.invariants import Invariants
 from camphorshelf_core.settings import ClaimSettings
-from camphorshelf_core.table import Outage, Row, WriteOutcome, Written
+from camphorshelf_core.table import ReadFailure, Row, WriteOutcome, WriteResult
 
 _SETTINGS = ClaimSettings(kept_answers=3, answer_age_ms=10_000)
 _UNKNOWN = Refusal(Code.DEADLINE_EXCEEDED, "late", Ran.OUTCOME_UNKNOWN)
@@ -187,18 +187,18 @@
             self._answer_write(pending, pending.result)
         elif choice == "drop" and pending.result is None:
             self._finish(pending)
-            self._answer_write(pending, Written(WriteOutcome.NOT_APPLIED))
+            self._answer_write(pending, WriteResult(WriteOutcome.NOT_APPLIED))
         elif choice == "lose":
             # The write stays under way when it was not applied: it may land at any later time.
             pending.is_answered = True
-            self._answer_write(pending, Written(WriteOutcome.UNKNOWN))
+            self._answer_write(pending, WriteResult(WriteOutcome.UNKNOWN))
 
     def _apply(self, action):
         row = self.rows.get(action.key)
         if (row.version if row else None) != action.expected:
-            return Written(WriteOutcome.LOST, row)
+            return WriteResult(WriteOutcome.LOST, row)
         self.rows[action.key] = Row(pack_record(action.record), action.version)
-        return Written(WriteOutcome.APPLIED)
+        return WriteResult(WriteOutcome.APPLIED)
 
     def _answer_write(self, pending, written):
         process, action = pending.process, pending.action
@@ -217,7 +217,7 @@
         elif process.can_act:
             self._finish(pending)
             is_lost = choice in ("lose", "drop")
-            result = Failure(Outage("")) if is_lost else Success(self.rows.get(action.key))
+            result = Failure(ReadFailure("")) if is_lost else Success(self.rows.get(action.key))
             self._carry_out(process, process.book.on_read(action.key, action.attempt, result))
 
     def _step_ask(self, pending, choice):
--- a/tests/soak/members_mutants.py
+++ b/tests/soak/members_mutants.py
@@ -7,7 +7,7 @@
 from camphorshelf_relay.announcer import Announcer
 from camphorshelf_relay.peers import Peers
 
-_take, _suspect = HostView.take, HostView.suspect
+_take, _suspect = HostView.apply, HostView.suspect
 
 
 def _take_always(view, status, now):
@@ -38,14 +38,14 @@
         super().__init__()
         self._past = set()
 
-    def take(self, status, now):
+    def apply(self, status, now):
         held = self.status
         if held is not None and held.incarnation != status.incarnation:
             if status.incarnation in self._past:
                 return False
             self._past.add(held.incarnation)
             self.status = None
-        return super().take(status, now)
+        return super().apply(status, now)
 
 
 def _keep_suspicion(view, status, now):
@@ -74,10 +74,10 @@
 
 
 MUTANTS = {
-    "take_overtaken": (HostView, "take", _take_overtaken),
-    "take_older": (HostView, "take", _take_older),
+    "take_overtaken": (HostView, "apply", _take_overtaken),
+    "take_older": (HostView, "apply", _take_older),
     "remember_heard": (directory, "HostView", _RememberHeard),
-    "keep_suspicion": (HostView, "take", _keep_suspicion),
+    "keep_suspicion": (HostView, "apply", _keep_suspicion),
     "suspect_any": (HostView, "suspect", _suspect_any),
     "suspect_just_heard": (HostView, "suspect", _suspect_just_heard),
     "never_outbid": (Announcer, "outbid", _do_nothing),
--- a/tests/soak/members_world.py
+++ b/tests/soak/members_world.py
@@ -10,7 +10,7 @@
 
 from camphorshelf_core.directory import FORGOTTEN_SECONDS
 from camphorshelf_core.failuredetector import Suspicion
-from camphorshelf_core.statusforms import News, decode
+from camphorshelf_core.hostdatagrams import MemberUpdates, decode
 from standins.fleet import Fleet
 
 HOSTS = 6
@@ -37,7 +37,7 @@
     :return: the context in which it is so.
     """
     stack = ExitStack()
-    for name in ("_PUSH_MOST_HOSTS", "_PUSH_AGAIN_HOSTS"):
+    for name in ("_PUSH_MAX_HOSTS", "_PUSH_RESUME_MAX_HOSTS"):
         stack.enter_context(patch(f"camphorshelf_core.hosts.{name}", 1))
     draw = patch("camphorshelf_relay.announcer._draw_chance", lambda: _CHANCE.getrandbits(20))
     stack.enter_context(draw)
@@ -219,6 +219,6 @@
 
 def _list_accused(data):
     message = decode(data, lambda incarnation: None)
-    if not isinstance(message, News):
+    if not isinstance(message, MemberUpdates):
         return ()
     return tuple(item.incarnation for item in message.items if isinstance(item, Suspicion))
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -43,7 +43,7 @@
             service=f"s{number % 3}",
             limit=3,
             revision=0,
-            repeat_s=0.0,
+            push_interval_s=0.0,
         )
         self.settings = settings
         self.chance = chance = random.Random(f"{fleet.seed}-{number}-{fleet.loop.now()}")
--- a/tests/standins/hosts.py
+++ b/tests/standins/hosts.py
@@ -25,11 +25,11 @@
         queued=0,
         slowness=1.0,
         work_s=0.1,
-        failing=0.0,
+        failure_ratio=0.0,
         config_version=1,
         lacks_store_access=False,
         revision=1,
-        repeat_s=0.2,
+        push_interval_s=0.2,
     )
     return usual._replace(**changes)
 
@@ -42,5 +42,5 @@
     :return: the :class:`HostView`.
     """
     view = HostView()
-    view.take(status, heard_at)
+    view.apply(status, heard_at)
     return view
