--- a/packages/core/src/camphorshelf_core/directory.py
+++ b/packages/core/src/camphorshelf_core/directory.py
@@ -1,26 +1,29 @@
-"""All hosts that a node knows: who is alive, and which targets a choice compares."""
+"""All hosts that a node knows, indexed by address, failure domain and service."""
 
 from .hosts import HostView
 
-# Addresses of silent hosts are kept so long and tried at a low rate; a partition may heal.
+# A gone host is kept for this long and contacted at a low rate, because a partition may heal.
 FORGOTTEN_SECONDS = 60.0
-# Then the address alone is kept, and counts nowhere: a partition may last longer than a minute.
-_ADDRESS_SECONDS = 86_400.0
-# The most targets that one choice compares, and how many of them are of the own failure domain.
-_CHOICE_TARGETS = 32
-_CHOICE_NEAR_TARGETS = 24
-# With fewer usable targets than this in the sample, all of the service are looked through.
-_CHOICE_LEAST_TARGETS = 4
+# After that only the address is kept, for this long, and is excluded from all counts and choices: a
+# partition may last longer than a minute.
+_FORGOTTEN_ADDRESS_SECONDS = 86_400.0
+# The most targets that are compared for one request, and how many of them may be of the own
+# failure domain.
+_MAX_CANDIDATES = 32
+_MAX_LOCAL_CANDIDATES = 24
+# When fewer targets than this are usable in the sample, all targets of the service are examined.
+_MIN_CANDIDATES = 4
 
 
 class HostDirectory:
-    """All other hosts that this node knows, by their links' address."""
+    """All other hosts that this node knows, by the address of their links."""
 
     def __init__(self):
         self._views = {}
+        # When each known host was added or last heard, by address.
         self._known_at = {}
         self._forgotten_at = {}
-        # Addresses without a view, in the order in which they were learned.
+        # Addresses without a view, in the order in which they were added.
         self._unheard = {}
         # Addresses by failure domain, and views by service and failure domain.
         self._domains = {}
@@ -33,7 +36,7 @@
 
     @property
     def unheard(self):
-        """The addresses of the known hosts that were never heard."""
+        """The addresses of the known hosts that no status was received from."""
         return list(self._unheard)
 
     @property
@@ -43,20 +46,20 @@
 
     @property
     def forgotten(self):
-        """The addresses of hosts that were silent for so long that they were dropped."""
+        """The addresses of hosts that were dropped because they were gone for too long."""
         return self._forgotten_at.keys()
 
     @property
     def domains(self):
-        """The failure domains of all hosts that were heard."""
+        """The failure domains of all hosts that a status was received from."""
         return list(self._domains)
 
     def add_address(self, address, now):
-        """Take note of a host's address.
+        """Add a host by its address.
 
-        :param address: its links' address.
+        :param address: the address of the host's links.
         :param now: seconds on the monotonic clock.
-        :return: whether it is new.
+        :return: whether the address was not known before.
         """
         if address in self._known_at:
             return False
@@ -66,11 +69,11 @@
         return True
 
     def apply_status(self, status, now):
-        """Take in a status.
+        """Apply a host's status if it is newer than the one held.
 
         :param status: the :class:`HostStatus`.
         :param now: seconds on the monotonic clock.
-        :return: whether it is newer than what was held.
+        :return: whether it was newer.
         """
         view = self._views.get(status.address)
         if view is None:
@@ -81,31 +84,31 @@
             return False
         self._known_at[status.address] = now
         self._forgotten_at.pop(status.address, None)
-        if before is None or _place(before) != _place(status):
-            self._unlist(before)
-            self._list(view)
+        if before is None or _index_key(before) != _index_key(status):
+            self._remove_from_index(before)
+            self._add_to_index(view)
         return True
 
     def view(self, address):
-        """Find what is held of a host.
+        """Find the view of a host.
 
-        :param address: its links' address.
+        :param address: the address of the host's links.
         :return: the :class:`HostView`, or None.
         """
         return self._views.get(address)
 
     def views(self):
-        """List what is held of all hosts that were heard.
+        """List the views of all hosts that a status was received from.
 
-        :return: the views.
+        :return: an iterable of :class:`HostView`.
         """
         return self._views.values()
 
     def in_domain(self, domain):
         """List the hosts of a failure domain.
 
-        :param domain: its name.
-        :return: their addresses.
+        :param domain: the failure domain's name.
+        :return: a list of their addresses.
         """
         return list(self._domains.get(domain, ()))
 
@@ -113,86 +116,86 @@
         """List the hosts that are not gone.
 
         :param now: seconds on the monotonic clock.
-        :return: their views.
+        :return: a list of :class:`HostView`.
         """
         return [view for view in self._views.values() if not view.is_gone(now)]
 
     def targets(self, service, domain, now, random):
-        """List hosts whose target runs a service and takes work; a sample where there are many.
+        """List the hosts whose target runs a service and is usable; a random sample of many.
 
-        The sample bounds the cost of a choice, and its order is random, so that hosts of which the
-        same is known are not all tried in the same order by all entry nodes.
+        The sample bounds the cost of a choice. The order is random, so that entry nodes don't all
+        try hosts of equal status in the same order.
 
         :param service: the service's name.
         :param domain: the failure domain whose targets are preferred.
         :param now: seconds on the monotonic clock.
-        :param random: the source of random numbers.
-        :return: their views.
+        :param random: a ``random.Random``.
+        :return: a list of :class:`HostView`.
         """
         by_domain = self._services.get(service, {})
-        near = list(by_domain.get(domain, {}).values())
-        far = [
+        local = list(by_domain.get(domain, {}).values())
+        remote = [
             view for name, views in by_domain.items() if name != domain for view in views.values()
         ]
-        if len(near) + len(far) > _CHOICE_TARGETS:
-            near_sample = random.sample(near, min(len(near), _CHOICE_NEAR_TARGETS))
-            far_count = min(len(far), _CHOICE_TARGETS - len(near_sample))
-            sample = near_sample + random.sample(far, far_count)
+        if len(local) + len(remote) > _MAX_CANDIDATES:
+            local_sample = random.sample(local, min(len(local), _MAX_LOCAL_CANDIDATES))
+            remote_count = min(len(remote), _MAX_CANDIDATES - len(local_sample))
+            sample = local_sample + random.sample(remote, remote_count)
             usable = [view for view in sample if view.is_usable(now)]
-            if len(usable) >= _CHOICE_LEAST_TARGETS:
+            if len(usable) >= _MIN_CANDIDATES:
                 return usable
-        usable = [view for view in near + far if view.is_usable(now)]
+        usable = [view for view in local + remote if view.is_usable(now)]
         random.shuffle(usable)
         return usable
 
     def forget_silent(self, now):
-        """Drop hosts that were silent for long.
+        """Drop the hosts that have been gone for too long and keep only their addresses.
 
         :param now: seconds on the monotonic clock.
-        :return: the dropped addresses.
+        :return: a list of the dropped addresses.
         """
-        old = [address for address in self._known_at if self._is_forgotten(address, now)]
-        for address in old:
+        expired = [address for address in self._known_at if self._is_expired(address, now)]
+        for address in expired:
             del self._known_at[address]
             self._forgotten_at[address] = now
             self._unheard.pop(address, None)
             view = self._views.pop(address, None)
             if view is not None:
-                self._unlist(view.status)
+                self._remove_from_index(view.status)
         self._forgotten_at = {
             address: at
             for address, at in self._forgotten_at.items()
-            if now - at <= _ADDRESS_SECONDS
+            if now - at <= _FORGOTTEN_ADDRESS_SECONDS
         }
-        return old
+        return expired
 
-    def _is_forgotten(self, address, now):
+    def _is_expired(self, address, now):
         if now - self._known_at[address] <= FORGOTTEN_SECONDS:
             return False
         view = self._views.get(address)
         return view is None or view.is_gone(now)
 
-    def _list(self, view):
+    def _add_to_index(self, view):
         status = view.status
         self._domains.setdefault(status.domain, {})[status.address] = None
         by_domain = self._services.setdefault(status.service, {})
         by_domain.setdefault(status.domain, {})[status.address] = view
 
-    def _unlist(self, status):
+    def _remove_from_index(self, status):
         if status is None:
             return
-        _discard(self._domains, status.domain, status.address)
+        _remove_from_group(self._domains, status.domain, status.address)
         by_domain = self._services[status.service]
-        _discard(by_domain, status.domain, status.address)
+        _remove_from_group(by_domain, status.domain, status.address)
         if not by_domain:
             del self._services[status.service]
 
 
-def _place(status):
+def _index_key(status):
     return status.service, status.domain
 
 
-def _discard(groups, name, address):
+def _remove_from_group(groups, name, address):
     group = groups[name]
     del group[address]
     if not group:
--- a/packages/core/src/camphorshelf_core/errors.py
+++ b/packages/core/src/camphorshelf_core/errors.py
@@ -1,11 +1,11 @@
-"""Every numbered result code, refusal and exception of camphorshelf."""
+"""The result codes, refusals and exceptions of camphorshelf."""
 
 from enum import Enum, IntEnum
 from typing import NamedTuple
 
 
 class Ran(Enum):
-    """Whether the work behind a refused call ran at the target."""
+    """Whether a refused call ran at the target."""
 
     NOT_RUN = "NOT_RUN"
     RAN = "RAN"
@@ -13,7 +13,7 @@
 
 
 class Code(IntEnum):
-    """Numbered result codes; docs/RESULT-CODES.md is their table."""
+    """Numbered result codes; docs/RESULT-CODES.md lists them."""
 
     OK = 0
 
@@ -91,7 +91,7 @@
     CORRUPT_CONFIGURATION = 420
 
 
-_STATUS = {
+_HTTP_STATUSES = {
     Code.BAD_REQUEST: 400,
     Code.HEADERS_TOO_LARGE: 431,
     Code.BODY_TOO_LARGE: 413,
@@ -137,20 +137,26 @@
     Code.ADMIN_FAILED: 500,
     Code.UNKNOWN_QUARANTINE: 404,
 }
-_DEFAULT_STATUS = 503
+_DEFAULT_HTTP_STATUS = 503
 
 
 def http_status(code):
-    """Give the HTTP status that carries a result code.
+    """Return the HTTP status for a result code.
 
     :param code: a :class:`Code`.
     :return: the status as an integer.
     """
-    return _STATUS.get(code, _DEFAULT_STATUS)
+    return _HTTP_STATUSES.get(code, _DEFAULT_HTTP_STATUS)
 
 
 class Refusal(NamedTuple):
-    """The final answer to a call that camphorshelf gives up on."""
+    """The final response to a call that camphorshelf doesn't forward or gives up on.
+
+    :param code: the result code.
+    :param reason: a short explanation.
+    :param ran: whether the call ran at the target.
+    :param retry_after_ms: how long to wait before a retry, in milliseconds; None when not known.
+    """
 
     code: Code
     reason: str
@@ -163,8 +169,8 @@
 
 
 class SettingsError(CamphorshelfError):
-    """A settings file that cannot be used."""
+    """A settings file is invalid."""
 
 
 class ProtocolError(CamphorshelfError):
-    """A peer sent something that is not a message of the protocol."""
+    """Received or stored data is not a valid message or record."""
--- a/packages/core/src/camphorshelf_core/failuredetector.py
+++ b/packages/core/src/camphorshelf_core/failuredetector.py
@@ -1,38 +1,42 @@
-"""Finds hosts that are dead, frozen or cut off, at a cost that does not grow with the fleet.
+"""Detects hosts that have died, frozen or lost their network, at a cost independent of fleet size.
 
-Failure pattern: a host dies without a word, and each entry node finds it out for itself by a
-request that is lost there. Here each node probes a few members a second, mostly of its own
-failure domain, so each member is probed several times a second by someone. A probe without an
-answer is repeated, also through other members; after that the member is suspected, which is told to
-all. A member that hears of it contradicts by a newer status.
+When a host dies silently, each entry node would otherwise notice only by losing a request to it.
+Here each node probes a few members per second, mostly of its own failure domain, so that some node
+probes each member several times per second. A probe that gets no response is repeated, also through
+other members. If there is still no response, the member is suspected, and the suspicion is
+announced to all. A member that receives a suspicion of itself refutes it with a newer status.
 """
 
 from collections import deque
 from typing import NamedTuple
 
 PROBE_SECONDS = 0.2
-# One probe in so many goes to another failure domain, where a whole domain may be gone, and one to
-# a suspect, which may be back.
-_FAR_EVERY = 5
-_SUSPECT_EVERY = 4
-# Timeouts of a direct probe and of one through others; hosts that share a core may pause.
+# One in this many probes goes to another failure domain, because a whole domain may fail, and one
+# to a suspected member, because it may have recovered.
+_REMOTE_PROBE_EVERY = 5
+_SUSPECT_PROBE_EVERY = 4
+# The direct probe's timeout, and the additional time that an indirect probe gets. Both leave room
+# for the pauses of hosts that share a processor core.
 _DIRECT_SECONDS = 0.12
 _INDIRECT_SECONDS = 0.4
-# A silence of the own process says nothing of the members that did not answer meanwhile.
+# After this process has paused for longer, missing responses say nothing about the other members.
 _OWN_PAUSE_SECONDS = 0.5
 
 
 class Probe(NamedTuple):
-    """A member to probe now."""
+    """A member to probe now.
+
+    :param address: the address of the member's links.
+    """
 
     address: str
 
 
 class IndirectProbe(NamedTuple):
-    """A member to be probed by another one.
+    """A member to probe through another one.
 
-    :param address: who is probed.
-    :param proxy: who probes.
+    :param address: the member to probe.
+    :param proxy: the member that is asked to send the probe.
     """
 
     address: str
@@ -40,18 +44,18 @@
 
 
 class Suspicion(NamedTuple):
-    """A member that is taken for dead until it says something newer.
+    """A member that counts as failed unless it refutes this with a newer status.
 
-    :param address: its links' address.
-    :param incarnation: the process that did not answer.
+    :param address: the address of the member's links.
+    :param incarnation: the incarnation of the process that did not respond.
     """
 
     address: str
     incarnation: str
 
 
-class _Wait:
-    """An answer that is due."""
+class _PendingProbe:
+    """A probe whose response is awaited."""
 
     __slots__ = ("sent_at", "is_indirect")
 
@@ -61,49 +65,51 @@
 
     @property
     def due_at(self):
-        """When the answer is late."""
+        """When the probe times out, in seconds on the monotonic clock."""
         indirect_s = _INDIRECT_SECONDS if self.is_indirect else 0.0
         return self.sent_at + _DIRECT_SECONDS + indirect_s
 
 
 class FailureDetector:
-    """Probes members that do not push their statuses, and suspects those that do not answer."""
+    """Probes members that don't push their statuses, and suspects those that don't respond."""
 
     def __init__(self, directory, domain, random, now):
         self._directory = directory
         self._domain = domain
         self._random = random
-        self._waits = {}
-        self._near = deque()
-        self._far = deque()
-        self._probes = 0
+        self._pending = {}
+        # Addresses that are still to be probed in this round: those of the own failure domain, and
+        # those of all others.
+        self._local_round = deque()
+        self._remote_round = deque()
+        self._probe_count = 0
         self._next_probe_at = now
         self._ticked_at = now
 
     def record_probe(self, address, now):
-        """Take in that a member was probed, by whatever part of the node.
+        """Record that a member was probed, by this detector or by another part of the node.
 
-        :param address: its links' address.
+        :param address: the address of the member's links.
         :param now: seconds on the monotonic clock.
         :return: None.
         """
-        self._waits.setdefault(address, _Wait(now))
+        self._pending.setdefault(address, _PendingProbe(now))
 
     def record_contact(self, address):
-        """Take in that a member was heard.
+        """Record that a newer status of a member was received.
 
-        :param address: its links' address.
+        :param address: the address of the member's links.
         :return: None.
         """
-        self._waits.pop(address, None)
+        self._pending.pop(address, None)
 
     @property
     def due_at(self):
         """When the next tick has something to do, in seconds on the monotonic clock."""
-        return min([self._next_probe_at, *(wait.due_at for wait in self._waits.values())])
+        return min([self._next_probe_at, *(probe.due_at for probe in self._pending.values())])
 
     def tick(self, now):
-        """Advance by the time that has passed.
+        """Run the timers that are due.
 
         :param now: seconds on the monotonic clock.
         :return: a list of :class:`Probe`, :class:`IndirectProbe` and :class:`Suspicion`.
@@ -111,36 +117,36 @@
         paused = now - self._ticked_at > _OWN_PAUSE_SECONDS
         self._ticked_at = now
         if paused:
-            self._waits.clear()
+            self._pending.clear()
         actions = []
-        for address, wait in list(self._waits.items()):
-            actions += self._advance(address, wait, now)
+        for address, probe in list(self._pending.items()):
+            actions += self._check_timeout(address, probe, now)
         if now >= self._next_probe_at:
             self._next_probe_at = now + PROBE_SECONDS
             actions += self._probe_next(now)
         return actions
 
-    def _advance(self, address, wait, now):
+    def _check_timeout(self, address, probe, now):
         view = self._directory.view(address)
         if view is None or view.suspected_at is not None:
-            if now - wait.sent_at >= _DIRECT_SECONDS:
-                del self._waits[address]
+            if now - probe.sent_at >= _DIRECT_SECONDS:
+                del self._pending[address]
             return []
-        if not wait.is_indirect:
-            if now - wait.sent_at < _DIRECT_SECONDS:
+        if not probe.is_indirect:
+            if now - probe.sent_at < _DIRECT_SECONDS:
                 return []
-            wait.is_indirect = True
+            probe.is_indirect = True
             proxies = self._choose_proxies(view.status, now)
             return [Probe(address), *(IndirectProbe(address, proxy) for proxy in proxies)]
-        if now - wait.sent_at < _DIRECT_SECONDS + _INDIRECT_SECONDS:
+        if now - probe.sent_at < _DIRECT_SECONDS + _INDIRECT_SECONDS:
             return []
-        del self._waits[address]
+        del self._pending[address]
         incarnation = view.status.incarnation
         return [Suspicion(address, incarnation)] if view.suspect(incarnation, now) else []
 
     def _choose_proxies(self, status, now):
-        # Two failure domains may not reach each other: members beside the one in question, of the
-        # own domain and of a third one see different networks.
+        # The network between two failure domains may fail, so the proxies are in different ones:
+        # the probed member's domain, the own domain and a third one.
         others = [
             name for name in self._directory.domains if name not in (status.domain, self._domain)
         ]
@@ -148,25 +154,25 @@
         chosen = [self._choose_live(name, status.address, now) for name in domains]
         return [proxy for proxy in dict.fromkeys(chosen) if proxy is not None]
 
-    def _choose_live(self, domain, besides, now):
+    def _choose_live(self, domain, excluded, now):
         live = [
             address
             for address in self._directory.in_domain(domain)
-            if address != besides and not self._directory.view(address).is_silent(now)
+            if address != excluded and not self._directory.view(address).is_silent(now)
         ]
         return self._random.choice(live) if live else None
 
     def _probe_next(self, now):
-        self._probes += 1
+        self._probe_count += 1
         address = None
-        if self._probes % _SUSPECT_EVERY == 0:
+        if self._probe_count % _SUSPECT_PROBE_EVERY == 0:
             address = self._choose_suspect()
-        elif self._probes % _FAR_EVERY == 0:
-            address = self._take(self._far, self._list_far, now)
+        elif self._probe_count % _REMOTE_PROBE_EVERY == 0:
+            address = self._next_in_round(self._remote_round, self._list_remote, now)
         if address is None:
-            address = self._take(self._near, self._list_near, now)
+            address = self._next_in_round(self._local_round, self._list_local, now)
         if address is None:
-            address = self._take(self._far, self._list_far, now)
+            address = self._next_in_round(self._remote_round, self._list_remote, now)
         if address is None:
             return []
         self.record_probe(address, now)
@@ -176,29 +182,30 @@
         suspects = [view for view in self._directory.views() if view.suspected_at is not None]
         return self._random.choice(suspects).status.address if suspects else None
 
-    def _take(self, ring, list_addresses, now):
-        # Each member once a round, in a random order.
-        if not ring:
+    def _next_in_round(self, addresses_left, list_addresses, now):
+        # Each member once a round, in random order.
+        if not addresses_left:
             addresses = list_addresses()
             self._random.shuffle(addresses)
-            ring.extend(addresses)
-        while ring:
-            address = ring.popleft()
+            addresses_left.extend(addresses)
+        while addresses_left:
+            address = addresses_left.popleft()
             view = self._directory.view(address)
-            if view is not None and _is_probed(view, now):
+            if view is not None and _needs_probe(view, now):
                 return address
         return None
 
-    def _list_near(self):
+    def _list_local(self):
         return self._directory.in_domain(self._domain)
 
-    def _list_far(self):
+    def _list_remote(self):
         domains = [name for name in self._directory.domains if name != self._domain]
         return [address for name in domains for address in self._directory.in_domain(name)]
 
 
-def _is_probed(view, now):
+def _needs_probe(view, now):
     if view.suspected_at is not None:
         return False
-    # One that has stopped to push may have changed to being probed, and the news of it was lost.
+    # A host that has stopped pushing may have changed to being probed, and the status that said so
+    # may have been lost.
     return not view.pushes_load or view.is_silent(now)
--- a/packages/core/src/camphorshelf_core/hostdatagrams.py
+++ b/packages/core/src/camphorshelf_core/hostdatagrams.py
@@ -1,8 +1,8 @@
-"""The datagrams between hosts: statuses, probes and news.
+"""The datagrams between hosts: statuses, probes, announcements and addresses.
 
-A status has two forms. A whole one is mostly names that never change. The short one has the few
-numbers that change often; who has not heard a whole one of that incarnation and revision cannot use
-it and probes for the whole one.
+A status has a full and a short form. Most of a full status are names that rarely change. The short
+form has only the numbers that change often. A receiver that doesn't hold a full status of the same
+incarnation and revision can't use it and probes for the full one.
 """
 
 from typing import NamedTuple
@@ -12,22 +12,23 @@
 from .failuredetector import Suspicion
 from .hosts import HostStatus, is_address
 
-_WHOLE, _SHORT, _STATUS_REQUEST, _GREETING, _NEWS, _SUSPICION = range(6)
+_FULL_STATUS, _SHORT_STATUS, _STATUS_REQUEST, _GREETING, _MEMBER_UPDATES, _SUSPICION = range(6)
 _PROBE_REQUEST, _ADDRESSES_REQUEST, _ADDRESSES = range(6, 9)
 _HUNDREDTHS, _THOUSANDTHS = 100, 1000
-_SHORT_FIELDS = 14
+_SHORT_FIELD_COUNT = 14
 _MAX_CRASHES = 16
 _ADDRESSES_PER_DATAGRAM = 60
-# Where the numbers of a whole status stand, apart from its sequence.
-_NUMBERS = slice(HostStatus._fields.index("accepting"), HostStatus._fields.index("crashes"))
+# The numeric fields of a full status, apart from its sequence and the fields after its crashes.
+_NUMERIC_FIELDS = slice(HostStatus._fields.index("accepting"), HostStatus._fields.index("crashes"))
 
 
 class StatusRequest(NamedTuple):
-    """Probes a host for its status of this moment.
+    """Probes a host for its current status.
 
-    :param incarnation: the process that the prober knows; empty when it knows none.
-    :param revision: the revision of its status that the prober knows, so that a short form will do.
-    :param is_suspected: whether the prober takes the host for dead.
+    :param incarnation: the incarnation of the host that the sender knows; empty for none.
+    :param revision: the revision of the status that the sender holds; if it is still valid, the
+        short form is enough.
+    :param is_suspected: whether the sender suspects the host of having failed.
     """
 
     incarnation: str
@@ -36,7 +37,7 @@
 
 
 class Greeting(NamedTuple):
-    """A host's status, sent to one that it has not heard; asks for an answer.
+    """A host's status, sent to a host that it has not heard; asks for that host's status.
 
     :param status: the :class:`~camphorshelf_core.hosts.HostStatus`.
     """
@@ -45,10 +46,11 @@
 
 
 class MemberUpdates(NamedTuple):
-    """What members should know at once.
+    """Announcements that members should receive at once.
 
-    :param must_forward: whether the receiver has to tell its failure domain.
-    :param items: statuses and :class:`~camphorshelf_core.failuredetector.Suspicion`.
+    :param must_forward: whether the receiver has to forward them in its failure domain.
+    :param items: a tuple of :class:`~camphorshelf_core.hosts.HostStatus` and
+        :class:`~camphorshelf_core.failuredetector.Suspicion`.
     """
 
     must_forward: bool
@@ -58,21 +60,21 @@
 class ProbeRequest(NamedTuple):
     """Asks a member to probe another one.
 
-    :param address: who is to be probed.
+    :param address: the address of the links of the member to probe.
     """
 
     address: str
 
 
 class AddressesRequest(NamedTuple):
-    """Asks a member which hosts it knows."""
+    """Asks a member for the addresses of the hosts that it knows."""
 
 
 class Addresses(NamedTuple):
-    """Some of the hosts that a member knows.
+    """Addresses of hosts that a member knows.
 
-    :param total: how many it knows.
-    :param addresses: links' addresses, as many as a datagram holds.
+    :param total: how many hosts the member knows.
+    :param addresses: the addresses of their links, as many as a datagram holds.
     """
 
     total: int
@@ -80,27 +82,28 @@
 
 
 class UnresolvedShortStatus(NamedTuple):
-    """A short status whose whole form is not known here."""
+    """A received short status for which no matching full status is held."""
 
 
 def encode(message):
-    """Turn a message into the bytes of a datagram.
+    """Encode a message as a datagram.
 
-    :param message: a status in its whole form, or any other message of this module.
-    :return: the bytes.
+    :param message: a :class:`~camphorshelf_core.hosts.HostStatus`, which is encoded in its full
+        form, or another message of this module.
+    :return: the datagram's bytes.
     """
     return cbor2.dumps(_to_fields(message))
 
 
 def encode_short_status(status):
-    """Turn what changes often into the bytes of a datagram.
+    """Encode the short form of a status as a datagram.
 
     :param status: the :class:`~camphorshelf_core.hosts.HostStatus`.
-    :return: the bytes.
+    :return: the datagram's bytes.
     """
     return cbor2.dumps(
         (
-            _SHORT,
+            _SHORT_STATUS,
             status.incarnation,
             status.sequence,
             status.revision,
@@ -120,29 +123,29 @@
 
 
 def is_short_form_sufficient(status, other):
-    """Tell whether the short form says all that has changed between two statuses.
+    """Tell whether the short form carries all that has changed between two statuses.
 
     :param status: a :class:`~camphorshelf_core.hosts.HostStatus`.
-    :param other: an earlier one of the same host.
+    :param other: an earlier status of the same host.
     :return: True or False.
     """
-    return _names(status) == _names(other)
+    return _full_form_fields(status) == _full_form_fields(other)
 
 
-def decode(data, find):
-    """Read a datagram.
+def decode(data, find_status):
+    """Decode a datagram.
 
-    :param data: its bytes.
-    :param find: takes an incarnation and gives the last status held of it, or None.
+    :param data: the datagram's bytes.
+    :param find_status: takes an incarnation and returns the last status held of it, or None.
     :return: a :class:`~camphorshelf_core.hosts.HostStatus` or another message of this module; None
-        when it is neither.
+        when the bytes are neither.
     """
     try:
         kind, *fields = cbor2.loads(data)
-        if kind == _SHORT and len(fields) == _SHORT_FIELDS and _are_numbers(fields[1:]):
-            return _fill_in(find(fields[0]), fields)
-        if kind == _NEWS and len(fields) == 2:
-            return _read_news(*fields)
+        if kind == _SHORT_STATUS and len(fields) == _SHORT_FIELD_COUNT and _are_numbers(fields[1:]):
+            return _complete_short_status(find_status(fields[0]), fields)
+        if kind == _MEMBER_UPDATES and len(fields) == 2:
+            return _parse_member_updates(*fields)
         return _from_fields(kind, fields)
     except (cbor2.CBORDecodeError, TypeError, ValueError):
         return None
@@ -150,15 +153,15 @@
 
 def _to_fields(message):
     if isinstance(message, HostStatus):
-        return (_WHOLE, *message)
+        return (_FULL_STATUS, *message)
     if isinstance(message, Greeting):
         return (_GREETING, *message.status)
     if isinstance(message, MemberUpdates):
-        return (_NEWS, message.must_forward, [_to_fields(item) for item in message.items])
+        return (_MEMBER_UPDATES, message.must_forward, [_to_fields(item) for item in message.items])
     return (_KINDS[type(message)], *message)
 
 
-def _read_news(must_forward, entries):
+def _parse_member_updates(must_forward, entries):
     items = [_from_fields(entry[0], entry[1:]) for entry in entries]
     if not all(isinstance(item, HostStatus | Suspicion) for item in items):
         return None
@@ -166,39 +169,39 @@
 
 
 def _from_fields(kind, fields):
-    if kind in (_WHOLE, _GREETING):
-        status = _check_whole(HostStatus(*fields))
+    if kind in (_FULL_STATUS, _GREETING):
+        status = _validate_status(HostStatus(*fields))
         return Greeting(status) if status is not None and kind == _GREETING else status
-    read = _READERS.get(kind)
-    return read(*fields) if read is not None else None
+    parse = _PARSERS.get(kind)
+    return parse(*fields) if parse is not None else None
 
 
-def _read_status_request(incarnation, revision, is_suspected):
+def _parse_status_request(incarnation, revision, is_suspected):
     if isinstance(incarnation, str) and isinstance(revision, int):
         return StatusRequest(incarnation, revision, bool(is_suspected))
     return None
 
 
-def _read_suspicion(address, incarnation):
+def _parse_suspicion(address, incarnation):
     if is_address(address) and isinstance(incarnation, str):
         return Suspicion(address, incarnation)
     return None
 
 
-def _read_probe_request(address):
+def _parse_probe_request(address):
     return ProbeRequest(address) if is_address(address) else None
 
 
-def _read_addresses(total, addresses):
+def _parse_addresses(total, addresses):
     if isinstance(total, int) and all(map(is_address, addresses)):
         return Addresses(total, tuple(addresses))
     return None
 
 
 def split_addresses(known):
-    """Split the known addresses into messages to a member that knows nobody.
+    """Split the addresses of all known hosts into messages that fit into a datagram each.
 
-    :param known: the links' addresses.
+    :param known: a list of the addresses of the hosts' links.
     :return: a list of :class:`Addresses`.
     """
     return [
@@ -207,9 +210,9 @@
     ]
 
 
-def _fill_in(held, fields):
+def _complete_short_status(held, fields):
     _, sequence, revision, accepting, limit, running, queued, *rest = fields
-    slowness, work, failing, version, lacks_store_access, start_wait, evacuation_version = rest
+    slowness, work, failures, version, lacks_store_access, start_wait, evacuation_version = rest
     if held is None or held.revision != revision:
         return UnresolvedShortStatus()
     return held._replace(
@@ -220,7 +223,7 @@
         queued=queued,
         slowness=slowness / _HUNDREDTHS,
         work_s=work / _THOUSANDTHS,
-        failure_ratio=failing / _THOUSANDTHS,
+        failure_ratio=failures / _THOUSANDTHS,
         config_version=version,
         lacks_store_access=bool(lacks_store_access),
         start_wait_s=start_wait / _THOUSANDTHS,
@@ -228,18 +231,29 @@
     )
 
 
-def _names(status):
-    return status.instance, status.service, status.crashes, status.warming_s > 0, status.push_interval_s
+def _full_form_fields(status):
+    return (
+        status.instance,
+        status.service,
+        status.crashes,
+        status.warming_s > 0,
+        status.push_interval_s,
+    )
 
 
-def _check_whole(status):
+def _validate_status(status):
     texts = status.host, status.incarnation, status.domain, status.address, status.service
     if not all(isinstance(text, str) for text in (*texts, status.instance)):
         return None
-    numbers = *status[_NUMBERS], status.sequence, status.start_wait_s, status.evacuation_version
+    numbers = (
+        *status[_NUMERIC_FIELDS],
+        status.sequence,
+        status.start_wait_s,
+        status.evacuation_version,
+    )
     if not _are_numbers(numbers):
         return None
-    if len(status.crashes) > _MAX_CRASHES or not all(map(_is_crash, status.crashes)):
+    if len(status.crashes) > _MAX_CRASHES or not all(map(_is_crash_count, status.crashes)):
         return None
     if not is_address(status.address):
         return None
@@ -250,7 +264,7 @@
     return all(isinstance(value, int | float) for value in values)
 
 
-def _is_crash(value):
+def _is_crash_count(value):
     return (
         isinstance(value, list | tuple)
         and len(value) == 2
@@ -266,10 +280,10 @@
     AddressesRequest: _ADDRESSES_REQUEST,
     Addresses: _ADDRESSES,
 }
-_READERS = {
-    _STATUS_REQUEST: _read_status_request,
-    _SUSPICION: _read_suspicion,
-    _PROBE_REQUEST: _read_probe_request,
+_PARSERS = {
+    _STATUS_REQUEST: _parse_status_request,
+    _SUSPICION: _parse_suspicion,
+    _PROBE_REQUEST: _parse_probe_request,
     _ADDRESSES_REQUEST: AddressesRequest,
-    _ADDRESSES: _read_addresses,
+    _ADDRESSES: _parse_addresses,
 }
--- a/packages/core/src/camphorshelf_core/hosts.py
+++ b/packages/core/src/camphorshelf_core/hosts.py
@@ -1,46 +1,50 @@
-"""What each host tells the others of itself, and what a node holds of the others.
+"""Host statuses, and what a node knows of the other hosts.
 
-Load pattern: a target's speed and load change several times a second, so a report that is a
-second old is as likely wrong as right. In small systems each host pushes its changes to all. In
-large ones the words that a node takes in would grow with the hosts, those that it uses would not:
-there load is probed at the moment of choice, and a failure detector watches who is alive.
+A target's speed and load change several times a second, so a status that is a second old is
+likely to be wrong. In small systems each host pushes its changes to all others. In large systems
+the statuses that a node receives would grow with the number of hosts while those that it uses
+would not, so load is probed when a target is chosen, and a failure detector tracks which hosts
+are alive.
 """
 
 import string
 from typing import NamedTuple
 
-# Pushed to more hosts than this, most reports of load are never used. The two bounds give
-# hysteresis: each change of the mode is told to all hosts.
+# With more other hosts than this, most pushed statuses are never used. The two thresholds give
+# hysteresis, because every change of mode is announced to all hosts.
 _PUSH_MAX_HOSTS = 30
 _PUSH_RESUME_MAX_HOSTS = 24
-# How often a host that pushes its load repeats its status, at least.
-_REPEAT_SECONDS = 0.2
-_REPEATS_PER_SECOND = 150
-_SILENT_PERIODS = 3.25
-# Past this a host that stopped repeating its status counts as gone.
+# The shortest interval at which a pushing host repeats its status, and the most repeated statuses
+# that it sends per second to all receivers together.
+_MIN_PUSH_INTERVAL_SECONDS = 0.2
+_MAX_PUSHES_PER_SECOND = 150
+# A pushing host is silent when nothing was received from it for this many push intervals.
+_SILENT_INTERVALS = 3.25
+# A pushing host counts as gone when nothing was received from it for this long.
 GONE_SECONDS = 3.0
-# A suspicion says that the host has not answered for about so long.
-_ACCUSATION_SECONDS = 0.5
-# A suspected host that has not contradicted for so long counts as gone.
+# A suspicion means that the host has not answered for about this long.
+_SUSPICION_SILENCE_SECONDS = 0.5
+# A suspected host that has not refuted the suspicion for this long counts as gone.
 SUSPICION_SECONDS = 1.5
-# A host that has not answered a probe for so long is chosen last until it is heard again.
-_ANSWER_SECONDS = 0.1
-# For how long a probed load is fresh enough to choose by.
+# A host that has not answered a probe for this long is chosen last until it is heard again.
+_PROBE_TIMEOUT_SECONDS = 0.1
+# A probed load is used for routing for this long.
 FRESH_SECONDS = 0.04
-# An incarnation is a number in symbols that sort as their values do: the microsecond of the start,
-# and chance, so that no two hosts that start together share one.
+# An incarnation is a number written in symbols that sort as their values do. Its high bits are the
+# start time in microseconds; its low bits are random, so that two processes that start in the same
+# microsecond differ.
 _SYMBOLS = "".join(sorted(string.ascii_letters + string.digits + "-_"))
 _SYMBOL_BITS = 6
 _SYMBOL_COUNT = 12
-_CHANCE_SYMBOLS = 4
+_RANDOM_SYMBOL_COUNT = 4
 RANDOM_BITS = 20
 
 
 def is_address(text):
-    """Tell whether a text is an address as hosts tell theirs.
+    """Tell whether a value is an address in the form that hosts send.
 
-    :param text: what was read.
-    :return: whether it is a text of the form ``ip:port``.
+    :param text: a decoded value of any type.
+    :return: whether it is a string of the form ``ip:port``.
     """
     if not isinstance(text, str):
         return False
@@ -48,70 +52,75 @@
     return bool(ip) and port.isdigit()
 
 
-def make_incarnation(started_us, chance):
-    """Name a process of a node; one that starts later at the same address compares greater.
+def make_incarnation(started_us, random_bits):
+    """Make the incarnation of a node's process; a later start gives a greater incarnation.
 
-    :param started_us: microseconds since the epoch.
-    :param chance: a random number of :data:`RANDOM_BITS` bits.
+    :param started_us: the process's start time in microseconds since the epoch.
+    :param random_bits: a random number of :data:`RANDOM_BITS` bits.
     :return: the incarnation.
     """
-    return _to_symbols(started_us << RANDOM_BITS | chance, _SYMBOL_COUNT)
+    return _encode_symbols(started_us << RANDOM_BITS | random_bits, _SYMBOL_COUNT)
 
 
-def make_newer_incarnation(other, chance):
-    """Name a process so that it compares greater than one that ran before at its address.
+def make_newer_incarnation(other, random_bits):
+    """Make an incarnation that compares greater than that of an earlier process.
 
-    :param other: the incarnation of that one, whose clock was ahead.
-    :param chance: a random number of :data:`RANDOM_BITS` bits; several may outbid the same one.
+    This is needed when the earlier process at the same address ran with a clock that was ahead.
+
+    :param other: the earlier process's incarnation.
+    :param random_bits: a random number of :data:`RANDOM_BITS` bits; it keeps apart several
+        processes that each supersede the same incarnation.
     :return: the incarnation.
     """
-    return other + _to_symbols(chance, _CHANCE_SYMBOLS)
+    return other + _encode_symbols(random_bits, _RANDOM_SYMBOL_COUNT)
 
 
 def should_push_load(hosts, is_pushing):
     """Tell whether each host should push its load to all others.
 
-    :param hosts: how many others there are.
-    :param is_pushing: whether it does so now.
-    :return: True or False; when it is false, who wants to know has to probe.
+    :param hosts: the number of other hosts.
+    :param is_pushing: whether this host pushes its load now.
+    :return: True to push; False when other hosts have to probe for the load.
     """
     return hosts <= (_PUSH_MAX_HOSTS if is_pushing else _PUSH_RESUME_MAX_HOSTS)
 
 
 def push_interval_seconds(hosts):
-    """Tell how often a host that pushes its load repeats its status.
+    """Compute the interval at which a host that pushes its load repeats its status.
 
-    :param hosts: how many others it tells.
-    :return: seconds.
+    :param hosts: the number of hosts that it pushes to.
+    :return: the interval in seconds.
     """
-    return max(_REPEAT_SECONDS, hosts / _REPEATS_PER_SECOND)
+    return max(_MIN_PUSH_INTERVAL_SECONDS, hosts / _MAX_PUSHES_PER_SECOND)
 
 
 class HostStatus(NamedTuple):
-    """One host's word on itself.
-
-    :param host: its name.
-    :param incarnation: drawn anew at each start of its node; a later one compares greater.
-    :param sequence: grows with each status of one incarnation.
-    :param domain: its failure domain.
-    :param address: where its node takes links, as ``ip:port``.
-    :param service: the service of the target beside it; empty when unknown.
-    :param instance: the running target's id; empty when there is none.
-    :param accepting: whether its node lets new work in.
-    :param warming_s: for how long the target stays slow after its start.
-    :param limit: how many requests may run at once.
-    :param running: how many run.
-    :param queued: how many wait for one of those to end.
-    :param slowness: how long work takes there now, 1.0 as usual.
-    :param work_s: mean time of a request there, as if the slowness were 1.0; 0.0 unknown.
-    :param failure_ratio: share of recent requests that failed.
-    :param config_version: the configuration in force there; 0 for none.
-    :param lacks_store_access: whether the store refuses or does not answer its node.
-    :param revision: grows with each change of what a short status leaves out.
-    :param push_interval_s: the longest time between two statuses that it pushes; 0.0 when it is to be
-        probed.
-    :param crashes: pairs of a request's fingerprint and how often the target crashed under it.
-    :param start_wait_s: when a cold target may get one request more; 0.0 for at once.
+    """The status that a host reports of itself and of its target.
+
+    :param host: the host's name.
+    :param incarnation: identifies the process of its node; a later process has a greater one.
+    :param sequence: increases with each status of one incarnation.
+    :param domain: the host's failure domain.
+    :param address: where its node accepts links, as ``ip:port``.
+    :param service: the service of its target; empty when unknown.
+    :param instance: the id of the running target process; empty when there is none.
+    :param accepting: whether its node accepts new requests.
+    :param warming_s: for how many more seconds the target is slow after its start.
+    :param limit: how many requests may run at the same time.
+    :param running: how many requests run.
+    :param queued: how many requests wait for a running one to end.
+    :param slowness: how long requests take there now, relative to usual (1.0).
+    :param work_s: the mean run time of a request there at a slowness of 1.0, in seconds; 0.0 when
+        unknown.
+    :param failure_ratio: the share of recent requests that failed, 0.0 to 1.0.
+    :param config_version: the version of the configuration in force there; 0 for none.
+    :param lacks_store_access: whether the store refuses or doesn't answer its node.
+    :param revision: increases with each change of a field that a short status leaves out.
+    :param push_interval_s: the longest time between two statuses that it pushes, in seconds; 0.0
+        when it doesn't push and has to be probed.
+    :param crashes: pairs of a request's fingerprint and how often the target crashed while
+        running it.
+    :param start_wait_s: seconds until a cold target may get another request; 0.0 for at once.
     :param evacuation_version: the version of the last change of evacuations known there.
     """
 
@@ -140,33 +149,33 @@
 
 
 class HostView:
-    """One other host as this node sees it."""
+    """What this node knows of one other host."""
 
     __slots__ = ("status", "heard_at", "probed_at", "suspected_at", "requests_since_status")
 
     def __init__(self):
         self.status = None
         self.heard_at = None
-        # When the probe that waits for an answer was sent; None when there is none.
+        # When the probe that is still unanswered was sent; None when there is none.
         self.probed_at = None
-        # Since when the failure detector takes the host for dead; None when it does not.
+        # Since when the host is suspected of having failed; None when it is not.
         self.suspected_at = None
-        # Own requests sent there since its last status, which cannot count them yet.
+        # Requests that this node sent there since its last status, which doesn't count them.
         self.requests_since_status = 0
 
     @property
     def pushes_load(self):
-        """Whether the host tells each change of its load by itself."""
+        """Whether the host pushes each change of its load."""
         return self.status.push_interval_s > 0
 
     def apply(self, status, now):
-        """Take in a status unless it is older than the one held.
+        """Apply a status if it is newer than the one held.
 
         :param status: the :class:`HostStatus`.
         :param now: seconds on the monotonic clock.
         :return: whether it was newer.
         """
-        if self.status is not None and _order(status) <= _order(self.status):
+        if self.status is not None and _status_order(status) <= _status_order(self.status):
             return False
         self.status = status
         self.heard_at = now
@@ -176,29 +185,29 @@
         return True
 
     def suspect(self, incarnation, now):
-        """Take the host for dead unless it was heard while it did not answer the accuser.
+        """Suspect the host, unless this node heard it while another one waited for its answer.
 
-        :param incarnation: the process that did not answer.
+        :param incarnation: the incarnation of the process that did not answer.
         :param now: seconds on the monotonic clock.
-        :return: whether this is news.
+        :return: whether the host was not suspected before and is now.
         """
         if self.suspected_at is not None or self.status.incarnation != incarnation:
             return False
-        if now - self.heard_at < _ACCUSATION_SECONDS:
+        if now - self.heard_at < _SUSPICION_SILENCE_SECONDS:
             return False
         self.suspected_at = now
         return True
 
     def is_probe_overdue(self, now):
-        """Tell whether the host owes the answer to a probe for too long.
+        """Tell whether the answer to a probe is late.
 
         :param now: seconds on the monotonic clock.
         :return: True or False.
         """
-        return self.probed_at is not None and now - self.probed_at > _ANSWER_SECONDS
+        return self.probed_at is not None and now - self.probed_at > _PROBE_TIMEOUT_SECONDS
 
     def is_load_fresh(self, now):
-        """Tell whether the load that is held is that of this moment.
+        """Tell whether the load held is recent enough to compare hosts by.
 
         :param now: seconds on the monotonic clock.
         :return: True or False.
@@ -208,26 +217,32 @@
     def is_silent(self, now):
         """Tell whether the host is used only when no other is left.
 
+        This holds for a host that is suspected, whose answer to a probe is late, or that has
+        stopped pushing.
+
         :param now: seconds on the monotonic clock.
         :return: True or False.
         """
         if self.suspected_at is not None or self.is_probe_overdue(now):
             return True
-        return self.pushes_load and now - self.heard_at > self.status.push_interval_s * _SILENT_PERIODS
+        return (
+            self.pushes_load
+            and now - self.heard_at > self.status.push_interval_s * _SILENT_INTERVALS
+        )
 
     def is_gone(self, now):
-        """Tell whether the host gets no requests at all.
+        """Tell whether the host counts as failed and gets no requests at all.
 
         :param now: seconds on the monotonic clock.
         :return: True or False.
         """
         if self.suspected_at is not None and now - self.suspected_at > SUSPICION_SECONDS:
             return True
-        longest = max(GONE_SECONDS, self.status.push_interval_s * _SILENT_PERIODS)
+        longest = max(GONE_SECONDS, self.status.push_interval_s * _SILENT_INTERVALS)
         return self.pushes_load and now - self.heard_at > longest
 
     def is_usable(self, now):
-        """Tell whether the target beside the host may be sent work.
+        """Tell whether requests may be sent to the host's target.
 
         :param now: seconds on the monotonic clock.
         :return: True or False.
@@ -235,10 +250,10 @@
         return self.status.accepting and bool(self.status.instance) and not self.is_gone(now)
 
 
-def _to_symbols(number, count):
+def _encode_symbols(number, count):
     shifts = range((count - 1) * _SYMBOL_BITS, -1, -_SYMBOL_BITS)
     return "".join(_SYMBOLS[number >> shift & len(_SYMBOLS) - 1] for shift in shifts)
 
 
-def _order(status):
+def _status_order(status):
     return status.incarnation, status.sequence
--- a/packages/core/src/camphorshelf_core/instances.py
+++ b/packages/core/src/camphorshelf_core/instances.py
@@ -1,26 +1,26 @@
-"""Which process of the target runs beside the node, and whether it wants work.
+"""Which process of the target runs beside the node, and whether it accepts work.
 
-A target's heartbeats may come late, out of order, or from a process before the present one; the
-node itself may have been restarted beside a living target and know nothing. Acting on the wrong
-one sends work to a target that has said it leaves.
+Heartbeats of a target may arrive late, out of order or from an earlier process, and the node may
+have been restarted beside a running target and know nothing of it. Relying on the wrong process
+would send requests to a target that has announced that it is leaving.
 """
 
 from typing import NamedTuple
 
-_ENDED_KEPT = 64
+_MAX_ENDED = 64
 
 
 class Heartbeat(NamedTuple):
-    """What a target says of itself.
-
-    :param instance: names the target's process.
-    :param started_ms: when that process started, Unix milliseconds; None when it doesn't say.
-    :param sequence: grows with each heartbeat of one process.
-    :param service: its service's name.
-    :param address: where it takes requests, as ``ip:port``.
-    :param slots: how many requests it works on at once.
-    :param leaving: whether it is about to end and wants no more work.
-    :param warming_s: for how long it will be slow after its start.
+    """A target's periodic report to the node beside it.
+
+    :param instance: the id of the target's process.
+    :param started_ms: when that process started, in Unix milliseconds; None when not given.
+    :param sequence: increases with each heartbeat of one process.
+    :param service: the name of the target's service.
+    :param address: where the target accepts requests, as ``ip:port``.
+    :param slots: how many requests the target runs at the same time.
+    :param leaving: whether the process is about to end and accepts no more work.
+    :param warming_s: for how many more seconds the process is slow after its start.
     """
 
     instance: str
@@ -34,16 +34,19 @@
 
 
 class InstanceRecord:
-    """The target's present process, as told by heartbeats and by the health path."""
+    """The target's current process, as known from heartbeats and from the health path."""
 
     def __init__(self):
         self._instance = ""
         self._started_ms = None
         self._sequence = -1
         self._leaving = False
+        # Whether a second heartbeat has overruled an unhealthy answer of the health path.
         self._confirmed = False
-        self._doubted = False
+        # Whether the process was first seen in an unhealthy answer and has given no healthy one.
+        self._unhealthy = False
         self._down = False
+        # Ids of other processes that were replaced or have said that they end, oldest first.
         self._ended = []
         self._warm_at = 0.0
         self.service = ""
@@ -56,27 +59,27 @@
 
     @property
     def started_ms(self):
-        """When that process started, Unix milliseconds; None when it doesn't say."""
+        """When that process started, in Unix milliseconds; None when not given."""
         return self._started_ms
 
     @property
     def leaving(self):
-        """Whether it wants no more work."""
+        """Whether the process has announced that it ends and accepts no more work."""
         return self._leaving
 
     @property
     def usable(self):
-        """Whether requests may be handed to it."""
-        known = self._instance and (self._confirmed or not self._doubted)
+        """Whether requests may be sent to the process."""
+        known = self._instance and (self._confirmed or not self._unhealthy)
         return bool(known) and not self._leaving and not self._down
 
     @property
     def down(self):
-        """Whether it does not take connections."""
+        """Whether the target accepts no connections."""
         return self._down
 
     def warming_s(self, now):
-        """Tell for how long it stays slow.
+        """Compute for how long the process stays slow after its start.
 
         :param now: seconds on the monotonic clock.
         :return: seconds.
@@ -84,20 +87,20 @@
         return max(0.0, self._warm_at - now)
 
     def record_heartbeat(self, heartbeat, now):
-        """Take in a heartbeat unless a newer one is known.
+        """Record a heartbeat unless a newer one is known.
 
         :param heartbeat: the :class:`Heartbeat`.
         :param now: seconds on the monotonic clock.
-        :return: whether it was taken in.
+        :return: whether it was recorded.
         """
-        if self._is_older(heartbeat):
+        if self._is_outdated(heartbeat):
             return False
         if self._is_other_process(heartbeat):
             self._replace(heartbeat.instance)
-            self._doubted = False
-        elif self._doubted and self._sequence >= 0 and not heartbeat.leaving:
-            # The health path said no when this node started. One heartbeat that says "ready"
-            # may have been sent before that; the second was sent after it.
+            self._unhealthy = False
+        elif self._unhealthy and self._sequence >= 0 and not heartbeat.leaving:
+            # The health path answered unhealthy when this node started. The first heartbeat
+            # without "leaving" may have been sent before that answer; the second one was not.
             self._confirmed = True
         self._instance = heartbeat.instance
         if heartbeat.started_ms is not None:
@@ -110,14 +113,14 @@
         return True
 
     def record_leaving(self, instance, started_ms=None):
-        """Take in that a process goes for good.
+        """Record that a process is about to end.
 
-        :param instance: its id.
-        :param started_ms: when it started, where it says so.
-        :return: whether it is the present one.
+        :param instance: the process's id.
+        :param started_ms: when the process started, in Unix milliseconds; None when not given.
+        :return: whether it is the current process.
         """
         if instance != self._instance and self._instance:
-            self._note_ended(instance)
+            self._add_ended(instance)
             return False
         if None not in (started_ms, self._started_ms) and started_ms < self._started_ms:
             return False
@@ -126,57 +129,58 @@
         return True
 
     def record_healthy(self, instance):
-        """Take in that the health path answered well.
+        """Record a healthy answer of the health path.
 
-        A node that starts beside a living target learns the id from it, up to one heartbeat
-        earlier.
+        A node that starts beside a running target learns the process's id from this answer, up to
+        one heartbeat interval before the next heartbeat.
 
         :param instance: the id in the answer.
-        :return: whether it is another process than the one known.
+        :return: whether it names another process than the one known.
         """
         self._down = False
         if self._instance == instance:
-            self._doubted = False
+            self._unhealthy = False
             return False
         if instance in self._ended:
             return False
         self._replace(instance)
-        self._doubted = False
+        self._unhealthy = False
         return True
 
     def record_unhealthy(self, instance):
-        """Take in that the health path said no.
+        """Record an unhealthy answer of the health path.
 
-        A target that has been heard by heartbeat is believed by it: its health may be wrong.
-        One that is not known yet may be leaving, and this node may have acknowledged that before
-        it was restarted, so it gets no work until two heartbeats say that it stays.
+        For a process that is already known, heartbeats take precedence: its health check may be
+        wrong. A process that is not known yet may be leaving, and this node may have acknowledged
+        that before its own restart, so the process gets no work until two heartbeats say that it
+        is not leaving.
 
-        :param instance: the id in the answer, empty when it gave none.
+        :param instance: the id in the answer; empty when the answer has none.
         :return: None.
         """
         self._down = False
         if instance and instance != self._instance and instance not in self._ended:
             self._replace(instance)
-            self._doubted = True
+            self._unhealthy = True
 
     def record_other_instance(self, instance):
-        """Take in that the address answered for another process than the one asked for.
+        """Record that another process than the current one answered at the target's address.
 
-        :param instance: the id in the answer, empty when it gave none.
+        :param instance: the id in the answer; empty when the answer has none.
         :return: None.
         """
         if instance and instance != self._instance and instance not in self._ended:
             self._replace(instance)
-            self._doubted = False
+            self._unhealthy = False
 
     def record_unreachable(self):
-        """Take in that the target takes no connections.
+        """Record that the target accepts no connections.
 
         :return: None.
         """
         self._down = True
 
-    def _is_older(self, heartbeat):
+    def _is_outdated(self, heartbeat):
         if heartbeat.instance in self._ended:
             return None in (heartbeat.started_ms, self._started_ms) or (
                 heartbeat.started_ms <= self._started_ms
@@ -194,7 +198,7 @@
 
     def _replace(self, instance):
         if self._instance and self._instance != instance:
-            self._note_ended(self._instance)
+            self._add_ended(self._instance)
         if instance in self._ended:
             self._ended.remove(instance)
         self._instance = instance
@@ -204,6 +208,6 @@
         self._down = False
         self._warm_at = 0.0
 
-    def _note_ended(self, instance):
+    def _add_ended(self, instance):
         if instance not in self._ended:
-            self._ended = [*self._ended[1 - _ENDED_KEPT :], instance]
+            self._ended = [*self._ended[1 - _MAX_ENDED :], instance]
--- a/packages/core/src/camphorshelf_core/join.py
+++ b/packages/core/src/camphorshelf_core/join.py
@@ -1,8 +1,8 @@
-"""Decides how a node uses the platform's table to find peers, at a cost fixed for the system.
+"""Decides how a node uses the platform's table to find peers, at a fixed cost for the whole system.
 
-Answers restarts by the hundred and the end of an outage. Without it, nodes would read all rows
-at each start (members squared), poll each at the same rate (members times the rate), and come
-back to the platform all at once.
+Hundreds of nodes may restart at once, or come back at the end of an outage. If each node read all
+rows at its start and polled at a fixed rate, the reads would grow with the square of the number of
+members and the polls with their number, and all nodes would return to the platform at once.
 """
 
 from zlib import crc32
@@ -10,18 +10,19 @@
 from .roster import MemberState
 
 CONTACT_ROWS = 16
-# All nodes together read one page a second, 16 rows of the two thousand that the service gives.
+# All nodes together read one page per second, that is 16 of the two thousand rows per second that
+# the service allows.
 POLLS_PER_SECOND = 1.0
 MIN_POLL_SECONDS = 10.0
-# Twice the time in which a member that only looks dead has contradicted; its row is written
-# again by itself if it was deleted wrongly.
+# Twice the time in which a member that only looks dead has refuted it. A member whose row is
+# deleted by mistake writes it again.
 STALE_SECONDS = 600.0
 FIRST_RETRY_SECONDS = 0.25
 MAX_RETRY_SECONDS = 30.0
 
 
 def row_key(node):
-    """Name a node's row so that a page from a random place is a random sample.
+    """Build the key of a node's row, so that a page from a random key on is a random sample.
 
     :param node: the node's name.
     :return: the row's key.
@@ -30,18 +31,18 @@
 
 
 def random_row_key(random):
-    """Choose where to begin to read.
+    """Choose a random key from which to read a page.
 
     :param random: a ``random.Random``.
-    :return: a key that need not exist.
+    :return: a key, for which there may be no row.
     """
     return f"{random.getrandbits(32):08x}"
 
 
 def poll_seconds(members, random):
-    """Tell how long a node waits until it reads the next page.
+    """Compute how long a node waits before it reads the next page.
 
-    :param members: how many members it knows.
+    :param members: the number of members that the node knows.
     :param random: a ``random.Random``.
     :return: seconds.
     """
@@ -50,12 +51,12 @@
 
 
 def retry_seconds(failures, random):
-    """Tell how long a node waits after failing to reach the platform or any peer.
+    """Compute how long a node waits after it failed to reach the platform or any peer.
 
-    All nodes lose the platform at the same moment; without the spread they would all come back
-    to it at the same moment too.
+    The wait is randomised: all nodes lose the platform at the same time, and would otherwise all
+    return to it at the same time.
 
-    :param failures: how many attempts in a row have failed, at least 1.
+    :param failures: the number of consecutive failed attempts, at least 1.
     :param random: a ``random.Random``.
     :return: seconds.
     """
@@ -64,10 +65,10 @@
 
 
 def is_stale(member, age):
-    """Tell whether a row's host is gone for good, so that its row only misleads.
+    """Tell whether a row should be deleted because its node is gone for good.
 
-    :param member: what is known of the row's member, or None.
-    :param age: the seconds since that was last changed.
-    :return: True or False; False for a member that is not known, it may live elsewhere.
+    :param member: the known :class:`Member` of the row's node, or None.
+    :param age: the seconds since the member's record last changed.
+    :return: True or False; False for an unknown member, which may be alive elsewhere.
     """
     return member is not None and member.state >= MemberState.DEAD and age >= STALE_SECONDS
--- a/packages/core/src/camphorshelf_core/messages.py
+++ b/packages/core/src/camphorshelf_core/messages.py
@@ -1,4 +1,4 @@
-"""The typed messages between nodes and their CBOR form."""
+"""The messages between nodes and their CBOR encoding."""
 
 from typing import NamedTuple
 
@@ -13,8 +13,8 @@
 class CallMessage(NamedTuple):
     """Asks a target's node to run a call; ``call_id`` is never reused on its link.
 
-    A call that would wait longer than ``longest_wait_ms`` for a slot is refused at once,
-    TARGET_BUSY and NOT_RUN; None stands for no such bound.
+    A call that would wait longer than ``longest_wait_ms`` for a slot is refused at once with
+    TARGET_BUSY and NOT_RUN; None means no limit.
     """
 
     call_id: int
@@ -31,7 +31,7 @@
 
 
 class AnswerMessage(NamedTuple):
-    """Carries a target's whole answer."""
+    """Carries a target's whole answer to a call."""
 
     call_id: int
     status: int
@@ -41,7 +41,7 @@
 
 
 class RefusedMessage(NamedTuple):
-    """Says that a call got no answer, and whether it ran."""
+    """Reports that a call got no answer, and whether it ran at the target."""
 
     call_id: int
     code: int
@@ -52,26 +52,26 @@
 
 
 class CancelMessage(NamedTuple):
-    """Says that nobody waits for a call any more."""
+    """Cancels a call whose answer nobody waits for any more."""
 
     call_id: int
 
 
 class ProbeMessage(NamedTuple):
-    """Asks a target's node for its load, in a datagram."""
+    """Asks a target's node for its load; sent as a datagram."""
 
     number: int
 
 
 class ProbeAnswerMessage(NamedTuple):
-    """Answers a probe, in a datagram."""
+    """Answers a :class:`ProbeMessage`; sent as a datagram."""
 
     number: int
     load: LoadReport
 
 
 class VersionRequestMessage(NamedTuple):
-    """Tells the own version of the configuration and asks for the peer's."""
+    """Reports the sender's version of the configuration and asks for the peer's."""
 
     call_id: int
     version: int
@@ -81,7 +81,7 @@
 
 
 class VersionMessage(NamedTuple):
-    """Answers with the own version, and with its body when that was asked for."""
+    """Reports the sender's version, and the configuration itself if ``want_body`` asked for it."""
 
     call_id: int
     node: str
@@ -93,11 +93,11 @@
 
 
 class GoAwayMessage(NamedTuple):
-    """Asks the peer to send no more calls: this node stops when it has answered those it has."""
+    """Asks the peer to send no more calls; the sender stops once it has answered the open ones."""
 
 
 class ClaimStatusRequestMessage(NamedTuple):
-    """Asks the owner of a claim what became of its attempt."""
+    """Asks the owner of a claim for the state of its attempt."""
 
     call_id: int
     service: str
@@ -107,7 +107,10 @@
 
 
 class ClaimStatusMessage(NamedTuple):
-    """The owner's word; one of ``answer`` and ``refusal`` is set when the call finished."""
+    """Reports the state of a claim's attempt.
+
+    When the call has finished, one of ``answer`` and ``refusal`` is set.
+    """
 
     call_id: int
     state: str
@@ -116,7 +119,7 @@
 
 
 class TicketsRequestMessage(NamedTuple):
-    """Asks a target's node for tickets."""
+    """Asks a target's node to issue tickets."""
 
     call_id: int
     service: str
@@ -124,7 +127,7 @@
 
 
 class TicketsMessage(NamedTuple):
-    """Carries tickets, or the refusal to mint."""
+    """Carries issued tickets, or the refusal to issue them."""
 
     call_id: int
     tickets: tuple
@@ -132,10 +135,10 @@
 
 
 class PingMessage(NamedTuple):
-    """Asks a member for a sign of life, in a datagram; carries changes and some digests.
+    """Asks a member for an ack and carries changes and digests; sent as a datagram.
 
-    ``digests`` are those of consecutive buckets from ``first_bucket`` on, ``members`` and
-    ``entries`` are packed records of the core package's roster.
+    ``digests`` belong to consecutive buckets that start with ``first_bucket``. ``members`` and
+    ``entries`` are records packed by :mod:`camphorshelf_core.roster`.
     """
 
     sequence: int
@@ -147,7 +150,7 @@
 
 
 class AckMessage(NamedTuple):
-    """Answers a ping, in a datagram."""
+    """Answers a ping and carries changes; sent as a datagram."""
 
     sequence: int
     sender: str
@@ -156,7 +159,7 @@
 
 
 class PingRequestMessage(NamedTuple):
-    """Asks a third member to ping one that does not answer, in a datagram."""
+    """Asks a member to ping another one that doesn't answer the sender; sent as a datagram."""
 
     sequence: int
     sender: str
@@ -164,7 +167,7 @@
 
 
 class DeltaMessage(NamedTuple):
-    """Carries changes that should not wait for the next ping, in a datagram."""
+    """Carries changes that should not wait for the next ping; sent as a datagram."""
 
     sender: str
     members: tuple
@@ -172,13 +175,13 @@
 
 
 class SnapshotRequestMessage(NamedTuple):
-    """Asks a peer over a link for all that it holds."""
+    """Asks a peer for a snapshot of its members and entries; sent over a link."""
 
     call_id: int
 
 
 class SnapshotMessage(NamedTuple):
-    """Carries all packed members and entries that a node holds."""
+    """Carries all members and entries that a node holds, packed."""
 
     call_id: int
     members: tuple
@@ -188,9 +191,9 @@
 class RelayMessage(NamedTuple):
     """Asks the node beside a target to run a request; ``call_id`` is never reused on its link.
 
-    Times are seconds from the moment at which it was sent. ``late_policy`` is the number
-    of a :class:`~camphorshelf_core.jobs.LatePolicy`; ``work_s`` is how long such work
-    usually runs.
+    ``objective_s`` and ``remaining_s`` are the seconds from the time of sending, ``sent_at``, to
+    the latency objective and to the deadline. ``work_s`` is how long such requests usually run.
+    ``late_policy`` is the number of a :class:`~camphorshelf_core.jobs.LatePolicy`.
     """
 
     call_id: int
@@ -211,7 +214,10 @@
 
 
 class RelayAnswerMessage(NamedTuple):
-    """Carries a target's whole answer and how long it waited and ran there, in seconds."""
+    """Carries a target's whole answer to a relayed request.
+
+    ``waited_s`` and ``ran_s`` are how long the request waited and ran there, in seconds.
+    """
 
     call_id: int
     status: int
@@ -223,9 +229,10 @@
 
 
 class RelayRefusedMessage(NamedTuple):
-    """Says that a request got no answer, and whether it ran.
+    """Reports that a relayed request got no answer, and whether it ran at the target.
 
-    ``reached`` tells whether a target got it, ``wait_s`` how long it would have had to wait.
+    ``reached`` tells whether the request was sent to the target; ``wait_s`` is how long it would
+    have had to wait, in seconds.
     """
 
     call_id: int
@@ -237,17 +244,18 @@
 
 
 class ConfigRequestMessage(NamedTuple):
-    """Asks a peer for its configuration if it is newer than a version, and for evacuations."""
+    """Asks a peer for its evacuations, and for its configuration if newer than ``version``."""
 
     call_id: int
     version: int
 
 
 class ConfigReplyMessage(NamedTuple):
-    """Carries a peer's version, and the document unless it is no newer than asked for.
+    """Carries the version of the sender's configuration, its document and the evacuations.
 
-    :param packed: the document, deflated.
-    :param evacuations: the :class:`~camphorshelf_core.evacuation.Evacuations` that it knows of.
+    :param packed: the document, compressed with deflate; None when it is not newer than requested.
+    :param evacuations: the :class:`~camphorshelf_core.evacuation.Evacuations` that the sender
+        knows.
     """
 
     call_id: int
@@ -257,7 +265,7 @@
 
 
 class FragmentMessage(NamedTuple):
-    """Carries a part of a message that is too large for one frame."""
+    """Carries a fragment of a message that is too large for one frame."""
 
     number: int
     is_last: bool
@@ -265,12 +273,12 @@
 
 
 class FragmentsAbortedMessage(NamedTuple):
-    """Says that the rest of a message in pieces will not come."""
+    """Reports that the remaining fragments of a message will not be sent."""
 
     number: int
 
 
-_KINDS = {
+_MESSAGE_TYPES = {
     1: CallMessage,
     2: AnswerMessage,
     3: RefusedMessage,
@@ -298,14 +306,14 @@
     60: FragmentMessage,
     61: FragmentsAbortedMessage,
 }
-_NUMBERS = {cls: number for number, cls in _KINDS.items()}
+_KIND_NUMBERS = {cls: number for number, cls in _MESSAGE_TYPES.items()}
 
 
 def pack_result(result):
-    """Split a call's result into the two fields of a message.
+    """Convert a call's result to the ``answer`` and ``refusal`` fields of a message.
 
-    :param result: a response, a refusal or None.
-    :return: the pair of answer and refusal; the one that it is not is None.
+    :param result: a :class:`Response`, a :class:`Refusal` or None.
+    :return: the pair of answer and refusal; the field that doesn't apply is None.
     """
     if isinstance(result, Refusal):
         return None, (int(result.code), result.reason, result.ran.value, result.retry_after_ms)
@@ -313,11 +321,11 @@
 
 
 def unpack_result(answer, refusal):
-    """Put a call's result together again.
+    """Restore a call's result from the ``answer`` and ``refusal`` fields of a message.
 
     :param answer: the response's fields, or None.
     :param refusal: the refusal's fields, or None.
-    :return: the response, the refusal or None.
+    :return: a :class:`Response`, a :class:`Refusal` or None.
     """
     if refusal is not None:
         code, reason, ran, retry_after_ms = refusal
@@ -325,47 +333,47 @@
     if answer is None:
         return None
     status, headers, body = answer
-    return Response(status, _pairs(headers), body)
+    return Response(status, _to_pairs(headers), body)
 
 
 def encode(message):
-    """Turn a message into bytes.
+    """Encode a message.
 
     :param message: one of this module's messages.
-    :return: the CBOR form, an array that starts with the message's number.
+    :return: its CBOR form, an array that starts with the number of the message's kind.
     """
-    return cbor2.dumps((_NUMBERS[type(message)], *message))
+    return cbor2.dumps((_KIND_NUMBERS[type(message)], *message))
 
 
 def decode(data):
-    """Read a message from bytes.
+    """Decode a message.
 
-    :param data: the bytes of one frame.
+    :param data: the bytes of one frame or datagram.
     :return: the message.
-    :raises ProtocolError: when the bytes are no message.
+    :raises ProtocolError: when the bytes are not a valid message.
     """
     try:
         kind, *fields = cbor2.loads(data)
-        return _restore(_KINDS[kind](*fields))
+        return _restore_types(_MESSAGE_TYPES[kind](*fields))
     except (cbor2.CBORDecodeError, KeyError, TypeError, ValueError) as error:
-        raise ProtocolError(f"not a message: {error}") from error
+        raise ProtocolError(f"invalid message: {error}") from error
 
 
-def _restore(message):
+def _restore_types(message):
     if isinstance(message, CallMessage):
         attempt = AttemptId(*message.attempt)
-        return message._replace(attempt=attempt, headers=_pairs(message.headers))
+        return message._replace(attempt=attempt, headers=_to_pairs(message.headers))
     if isinstance(message, ClaimStatusRequestMessage):
         return message._replace(attempt=AttemptId(*message.attempt))
     if isinstance(message, AnswerMessage):
         load = LoadReport(*message.load)
-        return message._replace(load=load, headers=_pairs(message.headers))
+        return message._replace(load=load, headers=_to_pairs(message.headers))
     if isinstance(message, ProbeAnswerMessage):
         return message._replace(load=LoadReport(*message.load))
     if isinstance(message, RelayMessage | RelayAnswerMessage):
-        return message._replace(headers=_pairs(message.headers))
+        return message._replace(headers=_to_pairs(message.headers))
     if isinstance(message, ConfigReplyMessage):
-        return message._replace(evacuations=_read_evacuations(*message.evacuations))
+        return message._replace(evacuations=_restore_evacuations(*message.evacuations))
     if isinstance(message, RelayRefusedMessage):
         Code(message.code)
         Ran(message.ran)
@@ -377,11 +385,11 @@
     return message
 
 
-def _read_evacuations(as_of, changed_at, domains):
+def _restore_evacuations(as_of, changed_at, domains):
     if not all(isinstance(number, int) for number in (as_of, changed_at, *domains.values())):
-        raise ValueError("a version of evacuations is not a whole number")
+        raise ValueError("evacuation versions must be integers")
     return Evacuations(as_of, changed_at, domains)
 
 
-def _pairs(headers):
+def _to_pairs(headers):
     return tuple((name, value) for name, value in headers)
--- a/packages/core/src/camphorshelf_core/outbox.py
+++ b/packages/core/src/camphorshelf_core/outbox.py
@@ -1,4 +1,4 @@
-"""Turns messages into datagrams, adds the changes that ride on them, and keeps the byte budget."""
+"""Encodes messages as datagrams, adds queued changes to them, and enforces the byte budget."""
 
 from typing import NamedTuple
 
@@ -6,11 +6,11 @@
 from .messages import DeltaMessage, encode
 from .spread import SpreadQueue
 
-# A datagram above the usual path MTU is cut into fragments, and losing one loses them all.
+# A datagram above the usual path MTU is fragmented, and losing one fragment loses all of it.
 MAX_DATAGRAM = 1_200
-_HEAD_BYTES = 120
-# Bare pings and acks keep this much of the budget, so that a burst of changes cannot make
-# living members look dead.
+_HEADER_BYTES = 120
+# This much of the budget is reserved for pings and acks without changes, so that a burst of changes
+# can't make living members look dead.
 _RESERVED_BYTES = 2_000
 
 
@@ -22,7 +22,7 @@
 
 
 class Outbox:
-    """The datagrams that are ready to be sent, within a budget of bytes a second."""
+    """Collects the datagrams to send, within a budget of bytes per second."""
 
     def __init__(self, own_node, settings, replica, now):
         self._own_node = own_node
@@ -34,19 +34,19 @@
 
     @property
     def dropped(self):
-        """How many datagrams were not sent because the budget was spent."""
+        """How many datagrams were not sent because the byte budget was spent."""
         return self._dropped
 
-    def take(self):
-        """Hand over the datagrams to send.
+    def pop_datagrams(self):
+        """Return the collected datagrams and empty the outbox.
 
         :return: a list of :class:`Datagram`.
         """
         ready, self._ready = self._ready, []
         return ready
 
-    def spread(self, key):
-        """Let a changed item ride on the next datagrams.
+    def queue_change(self, key):
+        """Queue a changed item to be added to the next datagrams.
 
         :param key: the item's key in the replica.
         :return: None.
@@ -54,19 +54,19 @@
         self._queue.add(key)
 
     def has_room(self, datagrams, now):
-        """Tell whether full datagrams can be sent beside the bare pings.
+        """Tell whether the budget allows full datagrams without using its reserve.
 
-        :param datagrams: how many.
+        :param datagrams: the number of datagrams.
         :param now: seconds on the monotonic clock.
         :return: True or False.
         """
         return self._budget.available(now) > datagrams * MAX_DATAGRAM + _RESERVED_BYTES
 
     def send(self, address, message, now):
-        """Send a message if the budget allows it.
+        """Send a message if the budget allows it, else drop it.
 
-        :param address: the ``IP:PORT``.
-        :param message: a message of the core package.
+        :param address: the receiver's ``IP:PORT``.
+        :param message: a message of :mod:`camphorshelf_core.messages`.
         :param now: seconds on the monotonic clock.
         :return: None.
         """
@@ -77,29 +77,31 @@
             self._dropped += 1
 
     def send_with_changes(self, address, make, now, extra_bytes=0):
-        """Send a message that carries as many changes as fit.
+        """Send a message with as many queued changes as fit into one datagram.
 
-        :param address: the ``IP:PORT``.
-        :param make: makes the message from packed members and packed entries.
+        :param address: the receiver's ``IP:PORT``.
+        :param make: makes the message from a tuple of packed members and one of packed entries.
         :param now: seconds on the monotonic clock.
-        :param extra_bytes: what the message takes besides its head.
+        :param extra_bytes: the size of the message's other contents, without its header.
         :return: None.
         """
         spare = self._budget.available(now) - _RESERVED_BYTES
-        room = min(MAX_DATAGRAM, spare) - 2 * _HEAD_BYTES - extra_bytes
-        members, entries = self._queue.take(self._replica, room, self._replica.member_count)
+        room = min(MAX_DATAGRAM, spare) - 2 * _HEADER_BYTES - extra_bytes
+        members, entries = self._queue.select_changes(
+            self._replica, room, self._replica.member_count
+        )
         self.send(address, make(tuple(members), tuple(entries)), now)
 
     def send_items(self, address, keys, now):
-        """Send as many of some items as fit into one datagram.
+        """Send as many of the given items as fit into one datagram.
 
-        :param address: the ``IP:PORT``.
-        :param keys: the items' keys in the replica.
+        :param address: the receiver's ``IP:PORT``.
+        :param keys: the items' keys in the replica, in order of preference.
         :param now: seconds on the monotonic clock.
         :return: None.
         """
         chosen = {"m": [], "e": []}
-        room = MAX_DATAGRAM - _HEAD_BYTES
+        room = MAX_DATAGRAM - _HEADER_BYTES
         for key in keys:
             kind, data = self._replica.packed(key)
             if len(data) > room:
--- a/packages/core/src/camphorshelf_core/partners.py
+++ b/packages/core/src/camphorshelf_core/partners.py
@@ -4,40 +4,42 @@
 
 
 def poll_probability(members, polls_per_second, seconds):
-    """Give the chance that a node polls the table in a period.
+    """Compute the probability with which a node polls the table in a period.
 
-    All nodes together read at most ``polls_per_second`` on average, whatever their number: at
-    2,100 nodes that each read once a second, the table's two thousand reads a second would be
-    gone. Every node that is missed by all other ways of spreading is still found by its poll.
+    All nodes together poll at most ``polls_per_second`` times per second on average, whatever
+    their number. If each of 2,100 nodes polled once per second, they would use up the table's
+    limit of two thousand reads per second. A node that receives a change in no other way still
+    finds it by its own poll.
 
-    :param members: the largest number of nodes this node has ever known of, itself included.
-    :param polls_per_second: the budget of the whole system.
-    :param seconds: the period's length.
-    :return: a probability of 0 to 1.
+    :param members: the largest number of nodes that this node has ever known, itself included.
+    :param polls_per_second: the limit for the whole system.
+    :param seconds: the period's length in seconds.
+    :return: a probability from 0 to 1.
     """
     return min(1.0, polls_per_second * seconds / max(1, members))
 
 
 def choose_partners(own, members, count):
-    """Choose the peers that a node asks for their version, the same ones as long as they live.
+    """Choose the peers that a node asks for their version; the choice is stable while they live.
 
-    Each node draws its partners by a hash of the two names, so that all draws together make a
-    random graph: with four partners each, news crosses 2,100 nodes in about six steps. At most
-    half are of the node's own failure domain, so that a domain has ways out.
+    Each node ranks its peers by a hash of both names, so that the choices of all nodes form a
+    random graph: with four partners each, a change reaches 2,100 nodes in about six steps. At
+    most half of the partners are in the node's own failure domain as long as there are enough
+    others, so that each domain is connected to the rest.
 
-    :param own: the own pair of name and failure domain.
-    :param members: pairs of name and failure domain, without the own.
-    :param count: how many.
+    :param own: the node's own pair of name and failure domain.
+    :param members: the pairs of name and failure domain of all other nodes.
+    :param count: the number of partners.
     :return: a list of names.
     """
     name, domain = own
     ranked = sorted(members, key=lambda one: _rank(name, one[0]))
-    abroad = [one[0] for one in ranked if one[1] != domain]
-    home = [one[0] for one in ranked if one[1] == domain]
-    first = abroad[: count - count // 2]
-    chosen = first + home[: count - len(first)]
-    return chosen + abroad[len(first) :][: count - len(chosen)]
+    remote = [one[0] for one in ranked if one[1] != domain]
+    local = [one[0] for one in ranked if one[1] == domain]
+    first = remote[: count - count // 2]
+    chosen = first + local[: count - len(first)]
+    return chosen + remote[len(first) :][: count - len(chosen)]
 
 
-def _rank(one, other):
-    return digest_of(f"{one} {other}".encode())
+def _rank(name, peer):
+    return digest_of(f"{name} {peer}".encode())
--- a/packages/core/src/camphorshelf_core/probing.py
+++ b/packages/core/src/camphorshelf_core/probing.py
@@ -1,4 +1,7 @@
-"""Decides whom to ping next and what missing answers mean, the node's own state included."""
+"""Chooses the member to ping next, and decides what missing acks mean.
+
+Acks may also be missing because this node itself is slow or cut off.
+"""
 
 import math
 from collections import OrderedDict
@@ -11,26 +14,29 @@
 
 
 class Probe(NamedTuple):
-    """The ping of this period."""
+    """The ping of the current period, until it is acked."""
 
     node: str
     address: str
     sequence: int
-    started: float
+    started_at: float
     is_indirect: bool
 
 
 class Prober:
-    """One node's probes: a shuffled round over all members, and the outcomes of the last ones."""
+    """Probes all members in shuffled rounds and keeps the outcomes of the latest probes."""
 
     def __init__(self, own_node, settings, random):
         self._own_node = own_node
         self._settings = settings
         self._random = random
         self._probe = None
-        self._order = []
+        # Names of the members that are still to be probed in this round.
+        self._round = []
+        # Whether each of the members probed most recently has answered, by name.
         self._recent = OrderedDict()
-        self._penalty = 0
+        # Grows with this node's failed probes and lengthens its timeouts.
+        self._health_penalty = 0
 
     @property
     def probe(self):
@@ -39,95 +45,95 @@
 
     @property
     def is_isolated(self):
-        """Whether most members that were probed lately did not answer.
+        """Whether most of the members probed recently did not answer.
 
-        Then it is this node that is cut off: were it to take the others for dead, it would
-        drop every target at once and, when it comes back, spread that error to all.
+        In that case this node itself is probably cut off. If it declared the others dead, it
+        would drop every target at once and spread that error to all when it comes back.
         """
         failed = sum(not answered for answered in self._recent.values())
         return failed * 2 > len(self._recent)
 
     def next_member(self, replica):
-        """Go through all members in random order, so that each is probed once a round.
+        """Choose the member to probe next; each member is probed once a round, in random order.
 
         :param replica: the :class:`~camphorshelf_core.replica.Replica`.
         :return: the :class:`Member`, or None when there is no other.
         """
         while True:
-            if not self._order:
+            if not self._round:
                 members = replica.members()
                 nodes = [one.node for one in members if one.in_use and one.node != self._own_node]
                 if not nodes:
                     return None
                 self._random.shuffle(nodes)
-                self._order = nodes
-            member = replica.member(self._order.pop())
+                self._round = nodes
+            member = replica.member(self._round.pop())
             if member is not None and member.in_use:
                 return member
 
-    def begin(self, member, sequence, now):
-        """Note that a member is being pinged.
+    def begin_probe(self, member, sequence, now):
+        """Record that a member is being pinged.
 
         :param member: the :class:`Member`.
-        :param sequence: the ping's number.
+        :param sequence: the ping's sequence number.
         :param now: seconds on the monotonic clock.
         :return: None.
         """
         self._probe = Probe(member.node, member.address, sequence, now, False)
 
-    def ask_others(self, now):
-        """Tell whether it is time to have the member pinged by others, once.
+    def start_indirect_probe(self, now):
+        """Make the probe indirect when its ack is late; happens once per probe.
 
         :param now: seconds on the monotonic clock.
-        :return: the :class:`Probe`, or None.
+        :return: the :class:`Probe` to send through other members, or None when none is due.
         """
         probe = self._probe
         if probe is None or probe.is_indirect:
             return None
-        # A node whose own probes fail lately is slow itself; it gives the others more time.
-        timeout = self._settings.ack_timeout_ms / 1000 * (1 + self._penalty)
-        if now - probe.started < timeout:
+        # A node whose own probes have failed recently may be slow itself and waits longer.
+        timeout = self._settings.ack_timeout_ms / 1000 * (1 + self._health_penalty)
+        if now - probe.started_at < timeout:
             return None
         self._probe = probe._replace(is_indirect=True)
         return self._probe
 
-    def answered(self, sequence):
-        """Take note of an answer.
+    def record_ack(self, sequence):
+        """Record an ack; one that doesn't belong to the current probe is ignored.
 
-        :param sequence: the ping's number.
+        :param sequence: the sequence number of the acked ping.
         :return: None.
         """
         if self._probe is None or self._probe.sequence != sequence:
             return
-        self._note_outcome(self._probe.node, True)
+        self._record_outcome(self._probe.node, True)
         self._probe = None
-        self._penalty = max(0, self._penalty - 1)
+        self._health_penalty = max(0, self._health_penalty - 1)
 
-    def end(self):
-        """End the period.
+    def end_probe(self):
+        """End the probe of this period.
 
         :return: the name of the member that did not answer, or None.
         """
         probe, self._probe = self._probe, None
         if probe is None:
             return None
-        self._note_outcome(probe.node, False)
-        self._penalty = min(_MAX_HEALTH_PENALTY, self._penalty + 1)
+        self._record_outcome(probe.node, False)
+        self._health_penalty = min(_MAX_HEALTH_PENALTY, self._health_penalty + 1)
         return probe.node
 
     def suspicion_seconds(self, members):
-        """Tell how long a suspected member has to contradict.
+        """Compute how long a suspected member has to refute the suspicion.
 
-        The news must reach it and its answer must come back, which takes a number of periods
-        that grows with the logarithm of the members.
+        The suspicion must reach the member and its refutation must come back. The number of
+        periods that this takes grows with the logarithm of the number of members.
 
-        :param members: how many members there are.
+        :param members: the number of members.
         :return: seconds.
         """
         periods = max(_MIN_SUSPICION_PERIODS, _SUSPICION_FACTOR * math.log10(members + 1))
-        return periods * self._settings.period_ms / 1000 * (1 + self._penalty)
+        return periods * self._settings.period_ms / 1000 * (1 + self._health_penalty)
 
-    def _note_outcome(self, node, answered):
+    def _record_outcome(self, node, answered):
         self._recent.pop(node, None)
         self._recent[node] = answered
         if len(self._recent) > _RECENT_PROBES:
--- a/packages/core/src/camphorshelf_core/replica.py
+++ b/packages/core/src/camphorshelf_core/replica.py
@@ -1,4 +1,4 @@
-"""A node's copy of all members and entries, merged by order, with digests to compare copies."""
+"""A node's copy of all members and entries, with digests to compare copies between nodes."""
 
 from typing import NamedTuple
 from zlib import crc32
@@ -11,7 +11,7 @@
 
 
 class Item(NamedTuple):
-    """One held record with its packed form; ``kind`` is ``m`` (member) or ``e`` (entry)."""
+    """A record with its packed form; ``kind`` is ``m`` for a member, ``e`` for an entry."""
 
     kind: str
     order: tuple
@@ -23,9 +23,10 @@
 class Replica:
     """Holds the newest record of each member and the newest entry of each topic and key.
 
-    Every copy that has merged the same records is the same, in whatever order they came. Each
-    record falls into one of 256 buckets by its name; the XOR of the checksums in a bucket tells
-    two nodes in four bytes whether their copies of it differ.
+    Copies that have merged the same records are equal, in whatever order the records came. Each
+    record belongs to one of 256 buckets, chosen by a checksum of its key. The XOR of a bucket's
+    record checksums is its digest: four bytes that tell two nodes whether their copies of the
+    bucket differ.
     """
 
     def __init__(self):
@@ -33,12 +34,12 @@
         self._buckets = [{} for _ in range(BUCKETS)]
         self._digests = [0] * BUCKETS
         self._topic_sizes = {}
-        self._members = 0
+        self._member_count = 0
 
     @property
     def member_count(self):
-        """How many members are held, of whatever state."""
-        return self._members
+        """How many members are held, in any state."""
+        return self._member_count
 
     def member(self, node):
         """Find a member's record.
@@ -50,7 +51,7 @@
         return None if item is None else item.record
 
     def changed_at(self, member):
-        """Tell when a held member's record was last changed here.
+        """Tell when the held record of a member was last changed in this copy.
 
         :param member: any record of the member.
         :return: seconds on the monotonic clock.
@@ -58,7 +59,7 @@
         return self._items["m", member.node].changed_at
 
     def members(self):
-        """List all members' records, of whatever state.
+        """List the records of all members, in any state.
 
         :return: a list of :class:`Member`.
         """
@@ -67,8 +68,8 @@
     def entry(self, topic, key):
         """Find an entry.
 
-        :param topic: its topic.
-        :param key: its key.
+        :param topic: the entry's topic.
+        :param key: the entry's key.
         :return: the :class:`Entry`, or None.
         """
         item = self._items.get(("e", topic, key))
@@ -77,7 +78,7 @@
     def entries(self, topic):
         """List the entries of a topic.
 
-        :param topic: its name.
+        :param topic: the topic's name.
         :return: a list of :class:`Entry`.
         """
         return [
@@ -87,29 +88,29 @@
         ]
 
     def merge_member(self, member, now):
-        """Take a record when it is newer than the one held.
+        """Store a member's record if it is newer than the one held.
 
         :param member: the :class:`Member`.
         :param now: seconds on the monotonic clock.
-        :return: the key of the item when it was taken, else None.
+        :return: the item's key if the record was stored, else None.
         """
         key = ("m", member.node)
-        self._members += key not in self._items
+        self._member_count += key not in self._items
         return self._merge(key, Item("m", member.order, member, pack_member(member), now))
 
     def merge_entry(self, entry, now):
-        """Take an entry when it is newer than the one held.
+        """Store an entry if it is newer than the one held.
 
         :param entry: the :class:`Entry`.
         :param now: seconds on the monotonic clock.
-        :return: the key of the item when it was taken, else None.
+        :return: the item's key if the entry was stored, else None.
         """
         key = ("e", entry.topic, entry.key)
         size = self._topic_sizes.get(entry.topic, 0)
         packed = pack_entry(entry)
         is_known = key in self._items
-        # A topic that grows without end, or one huge value, would fill every node's memory and
-        # crowd out all other changes; both are refused at each node that meets them.
+        # A topic that grows without bound, or one huge value, would fill every node's memory and
+        # crowd out all other changes. Each node refuses both.
         if len(packed) > MAX_VALUE_BYTES or (not is_known and size >= MAX_ENTRIES_PER_TOPIC):
             return None
         if not is_known:
@@ -117,38 +118,38 @@
         return self._merge(key, Item("e", (entry.version, packed), entry, packed, now))
 
     def forget_before(self, limit):
-        """Drop members that have been out of use since before a moment.
+        """Drop the members that died or left before a given time.
 
-        A dead member is kept for a while so that its old record, arriving late from a parted
-        region, is seen to be old and does not bring it back to life.
+        A dead member is kept for a while. Otherwise its old record, arriving late from the other
+        side of a partition, would be taken for that of a living member.
 
         :param limit: seconds on the monotonic clock.
         :return: the names of the dropped members.
         """
-        gone = [
+        expired = [
             key
             for key, item in self._items.items()
             if item.kind == "m" and item.record.state >= MemberState.DEAD
             if item.changed_at < limit
         ]
-        for key in gone:
+        for key in expired:
             self._drop(key)
-        self._members -= len(gone)
-        return [key[1] for key in gone]
+        self._member_count -= len(expired)
+        return [key[1] for key in expired]
 
     def packed(self, key):
-        """Give an item's packed form.
+        """Return an item's packed form.
 
         :param key: the item's key.
-        :return: the kind and the bytes, or None when it is no longer held.
+        :return: the kind and the bytes, or None when the item is not held.
         """
         item = self._items.get(key)
         return None if item is None else (item.kind, item.packed)
 
     def digest(self, bucket):
-        """Give the checksum over a bucket.
+        """Return a bucket's digest.
 
-        :param bucket: its number.
+        :param bucket: the bucket's number.
         :return: an integer below 2**32.
         """
         return self._digests[bucket]
@@ -156,7 +157,7 @@
     def bucket_keys(self, bucket):
         """List the keys of a bucket's items.
 
-        :param bucket: its number.
+        :param bucket: the bucket's number.
         :return: a list of keys.
         """
         return list(self._buckets[bucket])
@@ -175,17 +176,17 @@
                 return None
             self._drop(key)
         self._items[key] = item
-        bucket = _bucket(key)
+        bucket = _bucket_of(key)
         self._buckets[bucket][key] = None
         self._digests[bucket] ^= crc32(item.packed)
         return key
 
     def _drop(self, key):
         item = self._items.pop(key)
-        bucket = _bucket(key)
+        bucket = _bucket_of(key)
         del self._buckets[bucket][key]
         self._digests[bucket] ^= crc32(item.packed)
 
 
-def _bucket(key):
+def _bucket_of(key):
     return crc32("/".join(key).encode()) % BUCKETS
--- a/packages/core/src/camphorshelf_core/roster.py
+++ b/packages/core/src/camphorshelf_core/roster.py
@@ -1,4 +1,4 @@
-"""The members of the system, the targets beside them and which record of one is newer."""
+"""Records of the system's members and their targets, and of entries that all nodes share."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class MemberState(IntEnum):
-    """What is believed of a member; of two equal records the greater state wins."""
+    """A member's state; of two otherwise equal records the one with the greater state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -18,7 +18,7 @@
 
 
 class Announcement(NamedTuple):
-    """What a target says of itself to the node beside it."""
+    """What a target announces of itself to the node beside it."""
 
     service: str
     address: str
@@ -28,9 +28,9 @@
 class Member(NamedTuple):
     """One node's record.
 
-    ``generation`` grows with each start of the node's process, so the record of a replaced host
-    at the same name or address is never taken for that of its forerunner. ``revision`` grows
-    within one process, when its target changes or when it contradicts a suspicion.
+    ``generation`` increases with each start of the node's process, so a replaced host's record is
+    never taken for that of its predecessor with the same name or address. ``revision`` increases
+    within one process when its target changes or when it refutes a suspicion.
     """
 
     node: str
@@ -44,7 +44,7 @@
 
     @property
     def order(self):
-        """What decides which of two records is newer."""
+        """The sort key that decides which of two records is newer."""
         return self.generation, self.revision, self.state
 
     @property
@@ -54,7 +54,7 @@
 
 
 class Entry(NamedTuple):
-    """A small versioned fact that every node should hear of; the greater version wins."""
+    """A small versioned value that is spread to every node; the greater version wins."""
 
     topic: str
     key: str
@@ -63,7 +63,7 @@
 
 
 def pack_member(member):
-    """Turn a record into bytes.
+    """Encode a member's record.
 
     :param member: the :class:`Member`.
     :return: its CBOR form.
@@ -73,22 +73,22 @@
 
 
 def unpack_member(data):
-    """Read a record.
+    """Decode a member's record.
 
     :param data: its CBOR form.
     :return: the :class:`Member`.
-    :raises ProtocolError: when the bytes are no record.
+    :raises ProtocolError: when the bytes are not a member's record.
     """
     try:
         *fields, target = cbor2.loads(data)
         member = Member(*fields, None if target is None else Announcement(*target))
         return member._replace(state=MemberState(member.state))
     except (cbor2.CBORDecodeError, TypeError, ValueError) as error:
-        raise ProtocolError(f"not a member's record: {error}") from error
+        raise ProtocolError(f"invalid member record: {error}") from error
 
 
 def pack_entry(entry):
-    """Turn an entry into bytes.
+    """Encode an entry.
 
     :param entry: the :class:`Entry`.
     :return: its CBOR form.
@@ -97,16 +97,16 @@
 
 
 def unpack_entry(data):
-    """Read an entry.
+    """Decode an entry.
 
     :param data: its CBOR form.
     :return: the :class:`Entry`.
-    :raises ProtocolError: when the bytes are no entry.
+    :raises ProtocolError: when the bytes are not an entry.
     """
     try:
         entry = Entry(*cbor2.loads(data))
     except (cbor2.CBORDecodeError, TypeError, ValueError) as error:
-        raise ProtocolError(f"not an entry: {error}") from error
+        raise ProtocolError(f"invalid entry: {error}") from error
     if not isinstance(entry.version, int):
-        raise ProtocolError("an entry's version must be a whole number")
+        raise ProtocolError(f"an entry's version is a {type(entry.version).__name__}, not an int")
     return entry
--- a/packages/core/src/camphorshelf_core/settings.py
+++ b/packages/core/src/camphorshelf_core/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a node, read from JSON with comments and checked field by field."""
+"""A node's settings, read from JSON with comments and validated field by field."""
 
 import json
 from ipaddress import ip_address
@@ -27,7 +27,7 @@
 
 
 class ListenSettings(NamedTuple):
-    """Where a node listens: for callers, for peers and for administration."""
+    """The addresses on which a node listens for callers, peers and administration."""
 
     callers: Address
     peers: Address
@@ -35,9 +35,9 @@
 
 
 class PlatformSettings(NamedTuple):
-    """Where the platform's table service and object store are, and what a node may ask of them.
+    """The addresses of the platform's table service and object store, and limits on their use.
 
-    ``requests_per_second`` bounds this node alone, with a burst of one second's worth.
+    ``requests_per_second`` limits this node alone, with a burst of one second's worth.
     """
 
     table: Address
@@ -47,7 +47,7 @@
 
 
 class LimitSettings(NamedTuple):
-    """Bounds on what callers may send and how long it may take."""
+    """Limits on the size and duration of requests, and on answers and caller connections."""
 
     head_bytes: Bytes = 16_384
     body_bytes: Bytes = 1_048_576
@@ -67,9 +67,10 @@
 class EntrySettings(NamedTuple):
     """How an entry node routes, retries and hedges; docs/design/routing.md has the measurements.
 
-    ``report_half_life`` is told in usual latencies of the service: its calls in flight are all
-    others after a few of them. Budgets are shares of the fresh calls: ``retry_share`` 0.1 lets
-    one call in ten be a retry.
+    ``report_half_life`` is a multiple of the service's usual latency, because after a few such
+    latencies all calls in flight are different ones. The budgets ``spill_share``, ``retry_share``
+    and ``hedge_share`` are shares of the first attempts: a ``retry_share`` of 0.1 allows one retry
+    per ten calls.
     """
 
     policy: Literal["ours", "random", "round_robin", "least_reported"] = "ours"
@@ -86,7 +87,7 @@
 
 
 class SensingSettings(NamedTuple):
-    """What probing the load of targets may cost, asked and answered together."""
+    """Limits on the cost of load probes, for probes sent and answered together."""
 
     bytes_per_second: Annotated[int, Field(ge=0, le=1_000_000)] = 2_400
     burst_bytes: Annotated[int, Field(ge=0, le=1_000_000)] = 960
@@ -94,10 +95,10 @@
 
 
 class RosterSettings(NamedTuple):
-    """How members find and watch each other, and what that may cost.
+    """How members find and monitor each other, and limits on the cost.
 
-    ``contacts`` are peers' addresses for a start while the platform's table is down.
-    ``bytes_per_second`` bounds what the node sends for it, over any time longer than the burst.
+    ``contacts`` are peers' addresses, used for a start while the platform's table is down.
+    ``bytes_per_second`` limits what the node sends for this on average, ``burst_bytes`` in a burst.
     """
 
     contacts: tuple[Address, ...] = ()
@@ -109,12 +110,12 @@
 
 
 class GateSettings(NamedTuple):
-    """How the target's node shares out its slots.
+    """How the target's node distributes the target's slots.
 
-    ``caller_header`` names the header that tells callers apart; without it, or where a request
-    lacks it, the caller is its IP number. ``not_run_header`` is the header by which a target
-    says of a 503 that the work did not run; its value must be ``NOT_RUN``. Without it a 503 is
-    passed on as the target's own answer.
+    ``caller_header`` names the header that identifies the caller. Without this setting, or when a
+    request lacks the header, the caller is identified by its IP address. ``not_run_header`` names
+    the header with which a target marks a 503 response of work that did not run; its value must be
+    ``NOT_RUN``. Without this setting a 503 is passed on as the target's own response.
     """
 
     policy: Literal["ours", "fifo"] = "ours"
@@ -125,7 +126,7 @@
 
 
 class QuarantineSettings(NamedTuple):
-    """When a request that crashes targets is refused, and for how long."""
+    """When requests that crash targets are refused, and for how long."""
 
     crashes: Annotated[int, Field(ge=2, le=10)] = 2
     suspicion_ms: Milliseconds = 600_000
@@ -134,7 +135,11 @@
 
 
 class DrainSettings(NamedTuple):
-    """How a leaving target is told that it is empty, and when silence means that it ended."""
+    """How a leaving target is notified that it is empty, and when it counts as ended.
+
+    The notification is sent to ``path`` and repeated every ``retry_ms``. A target without requests
+    that has not announced itself for ``silent_ms`` counts as ended.
+    """
 
     path: Annotated[str, Field(pattern=r"^/[!-~]*$")] = "/drain"
     retry_ms: Milliseconds = 1_000
@@ -142,11 +147,12 @@
 
 
 class ClaimSettings(NamedTuple):
-    """How calls under a key are claimed, and how long their outcome is remembered.
+    """How calls with an idempotency key are claimed, and how long their outcome is kept.
 
-    Answers are kept in a node's memory within ``kept_answers``, ``kept_answer_bytes`` and
-    ``answer_age_ms``; one of at most ``table_answer_bytes`` goes to the table as well, whose rows
-    last ``retention_hours``. ``tickets`` bounds the tickets that a node remembers.
+    A node keeps answers in memory within the limits ``kept_answers``, ``kept_answer_bytes`` and
+    ``answer_age_ms``. An answer of at most ``table_answer_bytes`` is also stored in the table,
+    whose rows expire after ``retention_hours``. ``tickets`` limits the number of tickets that a
+    node keeps.
     """
 
     batch_ms: Milliseconds = 3
@@ -161,7 +167,7 @@
 
 
 class TokenSettings(NamedTuple):
-    """One operators' token: whose it is and its hash; the token itself is kept nowhere."""
+    """An operator token's team, hash and services; the token itself is stored nowhere."""
 
     team: Name
     sha256: Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
@@ -169,7 +175,7 @@
 
 
 class AdministrationSettings(NamedTuple):
-    """Who may administer and how much a request may weigh."""
+    """The operators' tokens, and limits on administration requests."""
 
     tokens: tuple[TokenSettings, ...] = ()
     request_bytes: Bytes = 262_144
@@ -179,7 +185,7 @@
 
 
 class ConfigurationSettings(NamedTuple):
-    """How the configuration spreads and when a node stops trusting its own."""
+    """How the configuration spreads, and when a node no longer relies on its own version."""
 
     polls_per_second: Annotated[float, Field(gt=0, le=100)] = 4.0
     partners: Annotated[int, Field(ge=1, le=16)] = 4
@@ -212,40 +218,42 @@
 
 
 def split_address(address):
-    """Split a checked address.
+    """Split a valid address.
 
-    :param address: ``IP:PORT``.
-    :return: the pair of IP and port number.
+    :param address: the address as ``IP:PORT``.
+    :return: the pair of IP address and port number.
     """
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 def parse_settings(text) -> Result[Settings, str]:
-    """Check the text of a settings file.
+    """Parse and validate the text of a settings file.
 
     :param text: JSON with comments.
-    :return: ``Success`` of the settings, or ``Failure`` of the lines that name each bad field.
+    :return: ``Success`` with the :class:`Settings`, or ``Failure`` with a text of one line for each
+        invalid field.
     """
     try:
         raw = json5.loads(text, allow_duplicate_keys=False)
     except ValueError as error:
         return Failure(f"not JSON with comments: {error}")
     if not isinstance(raw, dict):
-        return Failure("(whole file): must be an object of fields")
+        return Failure("(whole file): must be a JSON object")
     try:
-        # Strict: a number in quotes or a truth value in a number's place is a slip of the pen
-        # that would otherwise be read as something that nobody meant.
+        # Strict, because a quoted number, or a boolean in place of a number, is a mistake that
+        # would otherwise be converted to an unintended value.
         return Success(_ADAPTER.validate_json(json.dumps(raw), strict=True))
     except ValidationError as error:
-        return Failure("\n".join(_describe(problem) for problem in error.errors()))
+        return Failure("\n".join(_describe_error(problem) for problem in error.errors()))
 
 
 def read_settings(path) -> Result[Settings, str]:
-    """Read and check a settings file.
+    """Read, parse and validate a settings file.
 
     :param path: the file's path.
-    :return: ``Success`` of the settings, or ``Failure`` of lines that name file and field.
+    :return: ``Success`` with the :class:`Settings`, or ``Failure`` with a text of one line for each
+        invalid field, each prefixed with the path.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -257,10 +265,10 @@
     )
 
 
-def _describe(problem):
+def _describe_error(problem):
     field = ".".join(str(part) for part in problem["loc"]) or "(whole file)"
     if problem["type"] == "missing":
-        return f"{field}: is required and not there"
+        return f"{field}: is required but missing"
     if problem["type"] == "extra_forbidden":
         return f"{field}: is no field; saw {problem['input']!r:.100}"
     return f"{field}: {problem['msg']}; saw {problem['input']!r:.100}"
--- a/packages/core/src/camphorshelf_core/spread.py
+++ b/packages/core/src/camphorshelf_core/spread.py
@@ -1,23 +1,25 @@
-"""Decides which changed records ride on the next datagram.
+"""Decides which changed records are added to the next datagram.
 
-Answers the load of many changes at once (hundreds of hosts restarting): every change is sent a
-number of times that grows with the logarithm of the members, the least sent first, so a burst
-takes longer to spread but no datagram grows beyond its limit and no change is starved.
+Many changes may come at once, for example when hundreds of hosts restart. Every change is sent a
+number of times that grows with the logarithm of the number of members, and the least often sent
+changes go first. A burst thus takes longer to spread, but no datagram exceeds its size limit and
+no change is starved.
 """
 
 import heapq
 import math
 
-# Each node hears a change with a probability of 1 - n**-(factor - 2) or better when it is sent
-# factor * ln(n) times by each node that knows it; 3 leaves one node in 2,100 to the comparison
-# of digests, 4 next to none, and each send costs one record's bytes.
+# With n members, a node receives a change with a probability of at least 1 - n**-(factor - 2) when
+# each node that knows the change sends it factor * ln(n) times. A factor of 3 leaves about one node
+# in 2,100 to the comparison of digests and 4 hardly any, but each further send costs the bytes of
+# one record.
 SEND_FACTOR = 3
-_MAX_CONSIDERED = 24
-_OVERHEAD = 3
+_MAX_CANDIDATES = 24
+_OVERHEAD_BYTES = 3
 
 
 class SpreadQueue:
-    """The changes still to be sent, each with how often it was."""
+    """The changes that still have to be sent, each with the number of times it was sent."""
 
     def __init__(self):
         self._sent = {}
@@ -26,38 +28,38 @@
         return len(self._sent)
 
     def add(self, key):
-        """Begin to spread a change, or begin again.
+        """Add a change; one that is queued already starts over.
 
-        :param key: the item's key.
+        :param key: the item's key in the replica.
         :return: None.
         """
         self._sent[key] = 0
 
-    def take(self, replica, max_bytes, members):
-        """Choose what rides on a datagram.
+    def select_changes(self, replica, max_bytes, members):
+        """Select the changes for one datagram and count them as sent.
 
         :param replica: the :class:`Replica` that holds the items.
-        :param max_bytes: the room there is.
-        :param members: how many members there are.
+        :param max_bytes: the room in the datagram, in bytes.
+        :param members: the number of members.
         :return: the packed members and the packed entries, as two lists.
         """
         limit = send_limit(members)
         chosen = {"m": [], "e": []}
-        candidates = heapq.nsmallest(_MAX_CONSIDERED, self._sent.items(), key=_by_count)
+        candidates = heapq.nsmallest(_MAX_CANDIDATES, self._sent.items(), key=_sent_count)
         for key, sent in candidates:
             packed = replica.packed(key)
             if packed is None:
                 del self._sent[key]
                 continue
             kind, data = packed
-            if len(data) + _OVERHEAD > max_bytes:
+            if len(data) + _OVERHEAD_BYTES > max_bytes:
                 continue
-            max_bytes -= len(data) + _OVERHEAD
+            max_bytes -= len(data) + _OVERHEAD_BYTES
             chosen[kind].append(data)
-            self._count(key, sent + 1, limit)
+            self._update_count(key, sent + 1, limit)
         return chosen["m"], chosen["e"]
 
-    def _count(self, key, sent, limit):
+    def _update_count(self, key, sent, limit):
         if sent >= limit:
             del self._sent[key]
         else:
@@ -65,13 +67,13 @@
 
 
 def send_limit(members):
-    """Tell how often one node sends each change.
+    """Compute how many times one node sends each change.
 
-    :param members: how many members there are.
-    :return: a whole number, at least 1.
+    :param members: the number of members.
+    :return: an integer, at least 1.
     """
     return max(1, math.ceil(SEND_FACTOR * math.log(members + 1)))
 
 
-def _by_count(pair):
-    return pair[1]
+def _sent_count(item):
+    return item[1]
--- a/packages/core/src/camphorshelf_core/storepollers.py
+++ b/packages/core/src/camphorshelf_core/storepollers.py
@@ -1,20 +1,20 @@
-"""Which nodes poll the store for a new configuration.
+"""Decides which nodes poll the store for a new configuration.
 
-Calls to the store are paid for, and all nodes share its rate: a change that every node reads is
-as many calls as there are nodes. So a few nodes poll, the first by a hash of their names, and the
-others hear of a change from them. A node that hears none of the pollers polls by itself, so a
-cut-off node, one that is alone, and the nodes beside a poller that has lost its store access lose
-nothing.
+Calls to the store are paid for, and all nodes share its rate limit. If every node read every
+change, each change would cost as many calls as there are nodes. So only a few nodes poll, the first
+ones in the order of a hash of their names, and the others receive changes from them. A node that
+hears from no poller polls by itself: nodes that are alone, cut off, or connected only to a poller
+without store access thus still receive all changes.
 """
 
 from functools import lru_cache
 from hashlib import blake2b
 from itertools import islice
 
-# Three: one may be gone and one without store access, and a change still comes at once.
+# With three, changes still spread at once when one poller is gone and another has no store access.
 POLLER_COUNT = 3
-# With so many nodes without store access the store is most likely down for all: the others no
-# longer try in turn but at random, at a bounded rate for all nodes together.
+# When this many nodes lack store access, the store is probably down for all. The other nodes then
+# no longer try one after another but at random, at a rate that is bounded for all nodes together.
 _OUTAGE_NODES = 12
 OUTAGE_POLLS_PER_SECOND = 3.0
 
@@ -22,26 +22,27 @@
 def is_poller(name, others):
     """Tell whether a node should poll the store.
 
-    The first in the order that all agree on, of those with store access. When all pollers lose
-    their access, the next three try, and so on: in an outage for all, each node tries once, and
-    not all in the same moment.
+    The pollers are the first nodes with store access in an order that is the same on all nodes.
+    When all of them lose their access, the next three try, and so on. In an outage for all, each
+    node thus tries once, and not all at the same time.
 
     :param name: the node's own name.
-    :param others: pairs of the name of a live node and whether it lacks store access; an iterator
-        is taken only as far as is needed.
+    :param others: pairs of a live node's name and whether that node lacks store access; an
+        iterator is read only as far as needed.
     :return: True or False.
     """
     return (
-        _count_before(name, (other for other, lacks_access in others if not lacks_access)) < POLLER_COUNT
+        _count_before(name, (other for other, lacks_access in others if not lacks_access))
+        < POLLER_COUNT
     )
 
 
 def first_poll_probability(others, seconds):
-    """Tell how likely a node that has become a poller should make its first poll now.
+    """Compute the probability with which a node that became a poller makes its first poll now.
 
-    :param others: as for :func:`is_poller`.
-    :param seconds: how long it is until this is asked again.
-    :return: between 0 and 1.
+    :param others: a list of pairs as for :func:`is_poller`.
+    :param seconds: the time until the next decision, in seconds.
+    :return: a probability from 0 to 1.
     """
     if sum(lacks_access for _, lacks_access in others) < _OUTAGE_NODES:
         return 1.0
@@ -49,10 +50,10 @@
 
 
 def is_default_poller(name, others):
-    """Tell whether a node polls whether or not it has store access.
+    """Tell whether a node polls even when it lacks store access.
 
-    The first ones of all do, so that some see the store's return within a second; the others hear
-    of it from them.
+    The first nodes of all do, so that some notice within a second when the store is available
+    again; the others learn it from them.
 
     :param name: the node's own name.
     :param others: as for :func:`is_poller`.
@@ -62,7 +63,7 @@
 
 
 def _count_before(name, others):
-    # Counted as far as it matters: most nodes of a large fleet find enough among the first few.
+    # Counting stops at POLLER_COUNT: in a large fleet most nodes reach it after a few others.
     own = _rank(name)
     before = (other for other in others if _rank(other) < own)
     return sum(1 for _ in islice(before, POLLER_COUNT))
@@ -70,6 +71,6 @@
 
 @lru_cache(maxsize=4096)
 def _rank(name):
-    # By a hash and not by name: names follow the failure domains, and the first three would
-    # stand in one.
+    # A hash instead of the name itself: names are ordered by failure domain, so the first three
+    # would all be in the same one.
     return blake2b(name.encode(), digest_size=8).digest()
--- a/packages/core/src/camphorshelf_core/table.py
+++ b/packages/core/src/camphorshelf_core/table.py
@@ -1,21 +1,21 @@
-"""What the platform's table gives back: rows, and how a conditional write went."""
+"""Results of reads and conditional writes on the platform's table."""
 
 from enum import Enum
 from typing import NamedTuple
 
 
 class Row(NamedTuple):
-    """A row's bytes and the version that a conditional write compares."""
+    """A row's contents and the version that a conditional write compares."""
 
     data: bytes
     version: int
 
 
 class WriteOutcome(Enum):
-    """How a write went.
+    """The outcome of a write.
 
-    ``UNKNOWN`` is its own case and never folded into a failure: the write may have taken effect,
-    or may take effect later.
+    ``UNKNOWN`` is an outcome of its own and must not be treated as a failure: the write may have
+    taken effect already, or may still do so.
     """
 
     APPLIED = "applied"
@@ -25,13 +25,13 @@
 
 
 class WriteResult(NamedTuple):
-    """A write's outcome; with ``LOST`` the row that stood in the way, if it was told."""
+    """The outcome of a write; for ``LOST`` also the conflicting row, when the table returned it."""
 
     outcome: WriteOutcome
     row: Row | None = None
 
 
 class ReadFailure(NamedTuple):
-    """Why a read got no answer."""
+    """Why a read failed."""
 
     reason: str
--- a/packages/core/src/camphorshelf_core/teams.py
+++ b/packages/core/src/camphorshelf_core/teams.py
@@ -1,4 +1,4 @@
-"""Who may change what: teams own services, and a handover needs both owners."""
+"""Authorises administration: teams own services, and a handover needs both owners' consent."""
 
 import hashlib
 import hmac
@@ -8,22 +8,26 @@
 
 
 class Operator(NamedTuple):
-    """Who a bearer token stands for; ``services`` may be taken while nobody owns them."""
+    """The team that a bearer token authenticates.
+
+    :param team: the team's name.
+    :param services: services that may be taken over with this token while they have no owner.
+    """
 
     team: str
     services: tuple[str, ...] = ()
 
 
 def find_operator(tokens, presented):
-    """Tell whose token was presented.
+    """Find the operator that a presented token belongs to.
 
-    Tokens are 32 random bytes, so one round of SHA-256 is enough: there is no short list of
-    guesses that a slow hash would have to make expensive, and a slow hash on the node's only
-    thread would let anyone stop its calls by asking with wrong tokens. Every hash is compared,
-    in constant time, so that the answer's time does not tell which one nearly matched.
+    Tokens are 32 random bytes, so one round of SHA-256 is enough: they can't be guessed from a
+    list, which is what a slow hash would make expensive. A slow hash on the node's only thread
+    would let anyone block its calls by sending wrong tokens. All hashes are compared, each in
+    constant time, so that the response time doesn't reveal which one nearly matched.
 
-    :param tokens: the :class:`~camphorshelf_core.settings.TokenSettings` of the node.
-    :param presented: the token as text.
+    :param tokens: the node's list of :class:`~camphorshelf_core.settings.TokenSettings`.
+    :param presented: the presented token as text.
     :return: the :class:`Operator`, or None.
     """
     digest = hashlib.sha256(presented.encode()).hexdigest()
@@ -35,11 +39,11 @@
 
 
 def find_confirmers(services, changes):
-    """Tell whose confirm a plan needs.
+    """List the teams that have to confirm a plan.
 
-    :param services: the services of the base version.
+    :param services: the services of the version that the plan is based on.
     :param changes: the plan's changes.
-    :return: a sorted tuple of teams: every owner before and after.
+    :return: a sorted tuple of team names: the owners before and after the plan.
     """
     teams = set()
     for change in changes:
@@ -52,31 +56,33 @@
 
 
 def check_scope(operator, services, changes):
-    """Tell why an operator may not plan or confirm changes.
+    """Check whether an operator may plan or confirm changes.
 
     :param operator: the :class:`Operator`.
-    :param services: the services of the base version.
+    :param services: the services of the version that the plan is based on.
     :param changes: the plan's changes.
-    :return: a :class:`Refusal`, or None when all is in the team's scope.
+    :return: None when the operator may make all changes, else a :class:`Refusal`.
     """
     new_owners = {change.service: change.after for change in changes if change.field == "owner"}
     for change in changes:
         config = services.get(change.service)
         owner = config.owner if config is not None else ""
         new_owner = new_owners.get(change.service)
-        reason = _find_fault(operator, change.service, owner, new_owner)
+        reason = _explain_denial(operator, change.service, owner, new_owner)
         if reason is not None:
             return Refusal(Code.NOT_THE_OWNER, reason)
     return None
 
 
-def _find_fault(operator, service, owner, new_owner):
+def _explain_denial(operator, service, owner, new_owner):
     if owner:
         if operator.team in (owner, new_owner):
             return None
-        return f"{service} belongs to another team"
+        return f"{service} is owned by another team"
     if service not in operator.services:
         return f"{service} has no owner and is not among the services of this token"
     if new_owner != operator.team:
-        return f"{service} has no owner yet: plan its owner ({operator.team}) first or together"
+        return (
+            f"{service} has no owner: set its owner to {operator.team} in this or an earlier plan"
+        )
     return None
--- a/tests/features/steps/membership_steps.py
+++ b/tests/features/steps/membership_steps.py
@@ -197,13 +197,13 @@
     for viewer, pinger, pinged in (("m1", "m1", "m2"), ("m3", "m2", "m3")):
         member = mesh.members[viewer]
         suspect = mesh.members["m2"].own._replace(state=MemberState.SUSPECT)
-        member._take_member(suspect, mesh.now, spread=False)
+        member._merge_member(suspect, mesh.now, spread=False)
         before = mesh.members["m2"].own.revision
         # Keep the digests of this ping away from m2's bucket, or the repair would tell it too.
-        mesh.members[pinger]._bucket = (crc32(b"m/m2") + 1) % BUCKETS
+        mesh.members[pinger]._next_bucket = (crc32(b"m/m2") + 1) % BUCKETS
         address = mesh.members[pinger].replica.member(pinged).address
         mesh.members[pinger]._send_ping(address, mesh.now, pinged)
-        mesh.deliver(pinger, mesh.members[pinger]._outbox.take()[:1])
+        mesh.deliver(pinger, mesh.members[pinger]._outbox.pop_datagrams()[:1])
         context.revisions.append((before, mesh.members["m2"].own.revision))
 
 
@@ -305,7 +305,7 @@
     old = context.old_record._replace(revision=1_000)
     viewer = mesh.members["m0"]
     held = viewer.replica.member(old.node)
-    viewer._take_member(old, mesh.now)
+    viewer._merge_member(old, mesh.now)
     assert viewer.replica.member(old.node) == held
     assert held.incarnation != old.incarnation
 
