--- a/packages/core/src/camphorshelf_core/failuredetector.py
+++ b/packages/core/src/camphorshelf_core/failuredetector.py
@@ -19,7 +19,8 @@
 # for the pauses of hosts that share a processor core.
 _DIRECT_SECONDS = 0.12
 _INDIRECT_SECONDS = 0.4
-# After this process has paused for longer, missing responses say nothing about the other members.
+# When this process itself has paused for longer than this, missing responses say nothing about the
+# other members.
 _OWN_PAUSE_SECONDS = 0.5
 
 
--- a/packages/core/src/camphorshelf_core/hosts.py
+++ b/packages/core/src/camphorshelf_core/hosts.py
@@ -14,19 +14,19 @@
 # hysteresis, because every change of mode is announced to all hosts.
 _PUSH_MAX_HOSTS = 30
 _PUSH_RESUME_MAX_HOSTS = 24
-# The shortest interval at which a pushing host repeats its status, and the most repeated statuses
-# that it sends per second to all receivers together.
+# The shortest interval at which a pushing host repeats its status. The interval grows so that the
+# host sends at most about this many repeated statuses per second to all receivers together.
 _MIN_PUSH_INTERVAL_SECONDS = 0.2
 _MAX_PUSHES_PER_SECOND = 150
 # A pushing host is silent when nothing was received from it for this many push intervals.
 _SILENT_INTERVALS = 3.25
 # A pushing host counts as gone when nothing was received from it for this long.
 GONE_SECONDS = 3.0
-# A suspicion means that the host has not answered for about this long.
+# A suspicion means that the host has not responded to probes for about this long.
 _SUSPICION_SILENCE_SECONDS = 0.5
 # A suspected host that has not refuted the suspicion for this long counts as gone.
 SUSPICION_SECONDS = 1.5
-# A host that has not answered a probe for this long is chosen last until it is heard again.
+# A host that has not responded to a probe for this long is chosen last until it is heard again.
 _PROBE_TIMEOUT_SECONDS = 0.1
 # A probed load is used for routing for this long.
 FRESH_SECONDS = 0.04
@@ -114,7 +114,7 @@
         unknown.
     :param failure_ratio: the share of recent requests that failed, 0.0 to 1.0.
     :param config_version: the version of the configuration in force there; 0 for none.
-    :param lacks_store_access: whether the store refuses or doesn't answer its node.
+    :param lacks_store_access: whether the store refuses its node's calls or doesn't respond.
     :param revision: increases with each change of a field that a short status leaves out.
     :param push_interval_s: the longest time between two statuses that it pushes, in seconds; 0.0
         when it doesn't push and has to be probed.
@@ -156,7 +156,7 @@
     def __init__(self):
         self.status = None
         self.heard_at = None
-        # When the probe that is still unanswered was sent; None when there is none.
+        # When the probe that still awaits its response was sent; None when there is none.
         self.probed_at = None
         # Since when the host is suspected of having failed; None when it is not.
         self.suspected_at = None
@@ -185,9 +185,9 @@
         return True
 
     def suspect(self, incarnation, now):
-        """Suspect the host, unless this node heard it while another one waited for its answer.
+        """Suspect the host, unless this node heard it while another one waited for its response.
 
-        :param incarnation: the incarnation of the process that did not answer.
+        :param incarnation: the incarnation of the process that did not respond.
         :param now: seconds on the monotonic clock.
         :return: whether the host was not suspected before and is now.
         """
@@ -199,7 +199,7 @@
         return True
 
     def is_probe_overdue(self, now):
-        """Tell whether the answer to a probe is late.
+        """Tell whether the response to a probe is late.
 
         :param now: seconds on the monotonic clock.
         :return: True or False.
@@ -217,7 +217,7 @@
     def is_silent(self, now):
         """Tell whether the host is used only when no other is left.
 
-        This holds for a host that is suspected, whose answer to a probe is late, or that has
+        This holds for a host that is suspected, whose response to a probe is late, or that has
         stopped pushing.
 
         :param now: seconds on the monotonic clock.
--- a/packages/core/src/camphorshelf_core/instances.py
+++ b/packages/core/src/camphorshelf_core/instances.py
@@ -41,9 +41,9 @@
         self._started_ms = None
         self._sequence = -1
         self._leaving = False
-        # Whether a second heartbeat has overruled an unhealthy answer of the health path.
+        # Whether a second heartbeat has overruled an unhealthy response of the health path.
         self._confirmed = False
-        # Whether the process was first seen in an unhealthy answer and has given no healthy one.
+        # Whether the process was first seen in an unhealthy response and has sent no healthy one.
         self._unhealthy = False
         self._down = False
         # Ids of other processes that were replaced or have said that they end, oldest first.
@@ -99,8 +99,8 @@
             self._replace(heartbeat.instance)
             self._unhealthy = False
         elif self._unhealthy and self._sequence >= 0 and not heartbeat.leaving:
-            # The health path answered unhealthy when this node started. The first heartbeat
-            # without "leaving" may have been sent before that answer; the second one was not.
+            # The health path's response was unhealthy when this node started. The first heartbeat
+            # without "leaving" may have been sent before that response; the second one was not.
             self._confirmed = True
         self._instance = heartbeat.instance
         if heartbeat.started_ms is not None:
@@ -129,12 +129,12 @@
         return True
 
     def record_healthy(self, instance):
-        """Record a healthy answer of the health path.
+        """Record a healthy response of the health path.
 
-        A node that starts beside a running target learns the process's id from this answer, up to
+        A node that starts beside a running target learns the process's id from this response, up to
         one heartbeat interval before the next heartbeat.
 
-        :param instance: the id in the answer.
+        :param instance: the id in the response.
         :return: whether it names another process than the one known.
         """
         self._down = False
@@ -148,14 +148,14 @@
         return True
 
     def record_unhealthy(self, instance):
-        """Record an unhealthy answer of the health path.
+        """Record an unhealthy response of the health path.
 
         For a process that is already known, heartbeats take precedence: its health check may be
         wrong. A process that is not known yet may be leaving, and this node may have acknowledged
         that before its own restart, so the process gets no work until two heartbeats say that it
         is not leaving.
 
-        :param instance: the id in the answer; empty when the answer has none.
+        :param instance: the id in the response; empty when the response has none.
         :return: None.
         """
         self._down = False
@@ -164,9 +164,9 @@
             self._unhealthy = True
 
     def record_other_instance(self, instance):
-        """Record that another process than the current one answered at the target's address.
+        """Record that another process than the current one responded at the target's address.
 
-        :param instance: the id in the answer; empty when the answer has none.
+        :param instance: the id in the response; empty when the response has none.
         :return: None.
         """
         if instance and instance != self._instance and instance not in self._ended:
--- a/packages/core/src/camphorshelf_core/join.py
+++ b/packages/core/src/camphorshelf_core/join.py
@@ -14,8 +14,8 @@
 # the service allows.
 POLLS_PER_SECOND = 1.0
 MIN_POLL_SECONDS = 10.0
-# Twice the time in which a member that only looks dead has refuted it. A member whose row is
-# deleted by mistake writes it again.
+# Twice the time within which a member that is wrongly considered dead refutes this. If a row is
+# deleted by mistake, its node writes it again.
 STALE_SECONDS = 600.0
 FIRST_RETRY_SECONDS = 0.25
 MAX_RETRY_SECONDS = 30.0
--- a/packages/core/src/camphorshelf_core/messages.py
+++ b/packages/core/src/camphorshelf_core/messages.py
@@ -231,7 +231,7 @@
 class RelayRefusedMessage(NamedTuple):
     """Reports that a relayed request got no answer, and whether it ran at the target.
 
-    ``reached`` tells whether the request was sent to the target; ``wait_s`` is how long it would
+    ``reached`` tells whether the request reached the target; ``wait_s`` is how long it would
     have had to wait, in seconds.
     """
 
