--- a/packages/node/src/camphorshelf_node/gatekeeper.py
+++ b/packages/node/src/camphorshelf_node/admissioncontroller.py
@@ -12,14 +12,14 @@
 from .crashes import CrashWatch
 from .drain import Drainer
 from .httpclient import HttpClient
-from .work import Work
+from .localcall import LocalCall
 
 _SMOOTHING = 0.1
 _SPARE_CONNECTIONS = 2
-_LEAST_TIMER_SECONDS = 0.001
+_MIN_TIMER_SECONDS = 0.001
 
 
-class Gatekeeper:
+class AdmissionController:
     """Runs calls at the target that announced itself to this node."""
 
     def __init__(self, loop, settings, log, random, quarantine):
@@ -27,15 +27,15 @@
         self._settings = settings
         self._log = log
         self._quarantine = quarantine
-        parts = POLICIES[settings.gate.policy]
-        self._gate = Gate(0, random, parts, settings.gate.team_weights)
-        self._lane = SuspectLimiter()
+        policy = POLICIES[settings.gate.policy]
+        self._gate = Gate(0, random, policy, settings.gate.team_weights)
+        self._suspect_limiter = SuspectLimiter()
         self._crashes = CrashWatch(loop, quarantine)
         self._drainer = Drainer(loop, settings.drain, self)
         self._client = None
-        self._expiry = None
+        self._expiry_timer = None
         self._latency_ms = 0.0
-        self.target = None
+        self.announcement = None
         # Asked just before a call's first byte goes to the target.
         self.may_start = lambda call, deadline: True
         # Told whether the target leaves, at each change of who wants that.
@@ -70,7 +70,7 @@
         """Where the target stands, a :class:`~camphorshelf_core.drain.Phase`."""
         return self._drainer.phase
 
-    def announce(self, target, instance=None, leaving=None):
+    def announce(self, announcement, instance=None, leaving=None):
         """Take note of the target that announced itself.
 
         :param target: a :class:`~camphorshelf_core.roster.Announcement`.
@@ -78,12 +78,12 @@
         :param leaving: whether the target wants to leave, where it says so.
         :return: True when it is new or changed.
         """
-        changed = target != self.target
+        changed = announcement != self.announcement
         if changed:
-            self._replace_target(target)
-        self._drainer.note_announced(instance)
+            self._replace_target(announcement)
+        self._drainer.record_announced(instance)
         if leaving is not None:
-            self._drainer.wish(Source.TARGET, leaving)
+            self._drainer.set_leaving(Source.TARGET, leaving)
         return changed
 
     def set_leaving(self, leaving, source=Source.OPERATOR):
@@ -93,9 +93,9 @@
         :param source: who wants it.
         :return: None.
         """
-        self._drainer.wish(source, leaving)
+        self._drainer.set_leaving(source, leaving)
 
-    def apply(self):
+    def update_gate(self):
         """Close or open the gate by what is wanted now.
 
         :return: None.
@@ -113,34 +113,34 @@
         :param on_done: takes the response or refusal, and the load report.
         :return: a function that cancels the call.
         """
-        work = Work(self, self._loop, self._settings.gate, call, on_done)
-        if self.target is None or self.target.service != call.service:
-            work.refuse(Refusal(Code.NO_TARGET, "no such target beside this node"))
-            return work.cancel
-        standing, name = self._quarantine.judge(call)
+        local_call = LocalCall(self, self._loop, self._settings.gate, call, on_done)
+        if self.announcement is None or self.announcement.service != call.service:
+            local_call.refuse(Refusal(Code.NO_TARGET, "no such target beside this node"))
+            return local_call.cancel
+        standing, fingerprint = self._quarantine.judge(call)
         if standing is Standing.REFUSED:
-            work.refuse(self._quarantine.refusal(name))
+            local_call.refuse(self._quarantine.refusal(fingerprint))
         elif self._gate.closed is None and not can_start_within(self.load, call.longest_wait_ms):
-            work.refuse(Refusal(Code.TARGET_BUSY, "no slot is free soon enough"))
+            local_call.refuse(Refusal(Code.TARGET_BUSY, "no slot is free soon enough"))
         elif standing is Standing.SUSPECT:
-            self._isolate(work, name)
+            self._admit_suspect(local_call, fingerprint)
         else:
-            self.offer(work)
-        return work.cancel
+            self.offer(local_call)
+        return local_call.cancel
 
-    def offer(self, work):
+    def offer(self, local_call):
         """Put a call before the gate.
 
         :param work: the :class:`Work`.
         :return: None.
         """
-        self._gate.offer(work.ticket, self._loop.now())
-        if work.waits:
+        self._gate.offer(local_call.pending_call, self._loop.now())
+        if local_call.is_queued:
             gate = self._gate
             self._log.decision(
-                "queue", call=work.name, in_flight=gate.in_flight, queued=gate.queued
+                "queue", call=local_call.attempt_name, in_flight=gate.in_flight, queued=gate.queued
             )
-            self._arm()
+            self._schedule_expiry()
 
     def send(self, request, on_done, may_send):
         """Send a request to the target.
@@ -152,7 +152,7 @@
         """
         return self._client.send(request, on_done, may_send)
 
-    def finish(self, work, served):
+    def finish(self, local_call, served):
         """Take back the slot of a call that ended.
 
         :param work: the :class:`Work`.
@@ -161,105 +161,105 @@
         """
         now = self._loop.now()
         if served:
-            milliseconds = (now - work.ticket.started_at) * 1000
+            milliseconds = (now - local_call.pending_call.started_at) * 1000
             self._latency_ms += _SMOOTHING * (milliseconds - self._latency_ms)
-        self._gate.finish(work.ticket, now, served)
-        self._leave_lane(work)
+        self._gate.finish(local_call.pending_call, now, served)
+        self._release_suspect(local_call)
 
-    def cancel(self, work):
+    def cancel(self, local_call):
         """Take out a call that nobody waits for any more.
 
         :param work: the :class:`Work`.
         :return: None.
         """
-        if work.ticket.offered_at is not None:
-            self._gate.cancel(work.ticket, self._loop.now())
-        self._leave_lane(work)
+        if local_call.pending_call.offered_at is not None:
+            self._gate.cancel(local_call.pending_call, self._loop.now())
+        self._release_suspect(local_call)
 
-    def note_refused(self, work, refusal):
+    def record_refused(self, local_call, refusal):
         """Log a call that did not get in.
 
         :param work: the :class:`Work`.
         :param refusal: the :class:`Refusal`.
         :return: None.
         """
-        self._leave_lane(work)
+        self._release_suspect(local_call)
         self._log.decision(
-            "refuse", call=work.name, caller=work.ticket.caller, code=refusal.code.name
+            "refuse", call=local_call.attempt_name, caller=local_call.pending_call.caller, code=refusal.code.attempt_name
         )
 
-    def note_shed(self):
+    def record_shed(self):
         """Take note that the target itself turned a call away.
 
         :return: None.
         """
         self._gate.record_shed(self._loop.now())
 
-    def note_clean(self, work):
+    def record_completed(self, local_call):
         """Take note that a call ran to its answer.
 
         :param work: the :class:`Work`.
         :return: None.
         """
-        if work.suspect is not None:
-            self._quarantine.note_clean(work.suspect, work.started_at)
+        if local_call.suspect_fingerprint is not None:
+            self._quarantine.note_clean(local_call.suspect_fingerprint, local_call.started_at)
 
     @property
     def crashes(self):
         """Tells lost answers of a crashed target from those cut short."""
         return self._crashes
 
-    def _replace_target(self, target):
+    def _replace_target(self, announcement):
         # Calls that still run were counted by this gate and go on to be: a new gate beside
         # them would let in as many again, and the target would hold twice its slots.
         if self._client is not None:
             self._client.close()
-        self.target = target
-        address = split_address(target.address)
-        connections = target.slots + _SPARE_CONNECTIONS
+        self.announcement = announcement
+        address = split_address(announcement.address)
+        connections = announcement.slots + _SPARE_CONNECTIONS
         answer_bytes = self._settings.limits.answer_bytes
         self._client = HttpClient(self._loop, address, connections, answer_bytes)
         self._crashes.address = address
         self._drainer.client = HttpClient(self._loop, address, 1, answer_bytes)
-        self._gate.resize(target.slots, self._loop.now())
+        self._gate.resize(announcement.slots, self._loop.now())
 
-    def _isolate(self, work, name):
-        work.suspect = name
-        let_in = self._lane.acquire(work)
-        self._log.decision("suspect", call=work.name, fingerprint=name, let_in=let_in)
+    def _admit_suspect(self, local_call, fingerprint):
+        local_call.suspect_fingerprint = fingerprint
+        let_in = self._suspect_limiter.acquire(local_call)
+        self._log.decision("suspect", call=local_call.attempt_name, fingerprint=fingerprint, let_in=let_in)
         if let_in:
-            self.offer(work)
+            self.offer(local_call)
         elif let_in is None:
-            work.refuse_suspect()
+            local_call.refuse_suspect()
         else:
-            work.wait_in_lane()
+            local_call.wait_for_suspect()
 
-    def _leave_lane(self, work):
-        if work.suspect is None or work.left_lane:
+    def _release_suspect(self, local_call):
+        if local_call.suspect_fingerprint is None or local_call.released_suspect:
             return
-        work.left_lane = True
-        following = self._lane.release(work)
-        if following is not None:
-            following.end_lane_wait()
-            self._loop.call_later(0, lambda: self._offer_suspect(following))
-
-    def _offer_suspect(self, work):
-        if not work.done:
-            standing, name = self._quarantine.judge(work.call)
+        local_call.released_suspect = True
+        next_suspect = self._suspect_limiter.release(local_call)
+        if next_suspect is not None:
+            next_suspect.stop_waiting_for_suspect()
+            self._loop.call_later(0, lambda: self._retry_suspect(next_suspect))
+
+    def _retry_suspect(self, local_call):
+        if not local_call.done:
+            standing, fingerprint = self._quarantine.judge(local_call.call)
             if standing is Standing.REFUSED:
-                work.refuse(self._quarantine.refusal(name))
+                local_call.refuse(self._quarantine.refusal(fingerprint))
             else:
-                self.offer(work)
+                self.offer(local_call)
 
-    def _arm(self):
-        if self._expiry is not None:
+    def _schedule_expiry(self):
+        if self._expiry_timer is not None:
             return
         due = self._gate.next_expiry()
         if due is not None:
-            wait = max(_LEAST_TIMER_SECONDS, due - self._loop.now())
-            self._expiry = self._loop.call_later(wait, self._on_expiry)
+            wait = max(_MIN_TIMER_SECONDS, due - self._loop.now())
+            self._expiry_timer = self._loop.call_later(wait, self._on_expiry)
 
     def _on_expiry(self):
-        self._expiry = None
+        self._expiry_timer = None
         self._gate.expire(self._loop.now())
-        self._arm()
+        self._schedule_expiry()
--- a/packages/node/src/camphorshelf_node/once.py
+++ b/packages/node/src/camphorshelf_node/atmostonce.py
@@ -4,22 +4,22 @@
 from camphorshelf_core.calls import is_idempotent
 from camphorshelf_core.errors import Code, Ran, Refusal
 
-_BROKEN = Refusal(
+_INVARIANT_BROKEN = Refusal(
     Code.INVARIANT_BROKEN,
     "the call was refused as not run, though its attempt had started",
     Ran.OUTCOME_UNKNOWN,
 )
 
 
-class OnceGuard:
+class AtMostOnceGuard:
     """Stands before the gatekeeper for calls that must not run twice."""
 
-    def __init__(self, loop, gatekeeper, ledger, invariants):
+    def __init__(self, loop, admission_controller, registry, invariants):
         self._loop = loop
-        self._gatekeeper = gatekeeper
-        self._ledger = ledger
+        self._admission_controller = admission_controller
+        self._registry = registry
         self._invariants = invariants
-        gatekeeper.may_start = self.may_start
+        admission_controller.may_start = self.may_start
 
     def run(self, call, on_done):
         """Run a call, or refuse it.
@@ -29,20 +29,20 @@
         :return: a function that cancels the call.
         """
         if is_idempotent(call.method):
-            return self._gatekeeper.run(call, on_done)
-        if self._ledger.state(call.attempt) is not AttemptState.NEW:
+            return self._admission_controller.run(call, on_done)
+        if self._registry.state(call.attempt) is not AttemptState.NEW:
             reason = "the target's node has seen this attempt before"
             refusal = Refusal(Code.ATTEMPT_REPEATED, reason, Ran.OUTCOME_UNKNOWN)
-            on_done(refusal, self._gatekeeper.load)
+            on_done(refusal, self._admission_controller.load)
             return _do_nothing
 
         def done(result, load):
-            on_done(self._check(call, result), load)
+            on_done(self._check_result(call, result), load)
 
-        cancel = self._gatekeeper.run(call, done)
+        cancel = self._admission_controller.run(call, done)
 
         def void_and_cancel():
-            self._ledger.void(call.attempt)
+            self._registry.void(call.attempt)
             cancel()
 
         return void_and_cancel
@@ -53,7 +53,7 @@
         :param call: the call.
         :return: True or False.
         """
-        return self._ledger.state(call.attempt) is AttemptState.STARTED
+        return self._registry.state(call.attempt) is AttemptState.STARTED
 
     def may_start(self, call, deadline):
         """Decide, just before the first byte goes to the target, whether it may.
@@ -67,19 +67,19 @@
         """
         if deadline <= self._loop.now():
             return False
-        return is_idempotent(call.method) or self._ledger.start(call.attempt)
+        return is_idempotent(call.method) or self._registry.start(call.attempt)
 
-    def _check(self, call, result):
+    def _check_result(self, call, result):
         if not isinstance(result, Refusal) or result.ran is not Ran.NOT_RUN:
             return result
-        if result.code in _VOUCHED_BY_TARGET:
-            self._ledger.mark_voided(call.attempt)
+        if result.code in _NOT_RUN_BY_TARGET:
+            self._registry.mark_voided(call.attempt)
             return result
-        is_void = self._ledger.void(call.attempt)
-        return result if self._invariants.holds("not_run_is_void", is_void) else _BROKEN
+        is_void = self._registry.void(call.attempt)
+        return result if self._invariants.holds("not_run_is_void", is_void) else _INVARIANT_BROKEN
 
 
-_VOUCHED_BY_TARGET = frozenset({Code.TARGET_SHED})
+_NOT_RUN_BY_TARGET = frozenset({Code.TARGET_SHED})
 
 
 def _do_nothing():
--- a/packages/node/src/camphorshelf_node/calling.py
+++ b/packages/node/src/camphorshelf_node/callexecution.py
@@ -16,17 +16,17 @@
 
 from .headers import DEADLINE_HEADER, strip_hop_by_hop
 
-_OWN_HEADERS = frozenset({DEADLINE_HEADER, RETRIES_LEFT_HEADER})
+_REPLACED_HEADERS = frozenset({DEADLINE_HEADER, RETRIES_LEFT_HEADER})
 
 
-class Calling:
+class CallExecution:
     """Drives one call to its single final outcome."""
 
     def __init__(self, dispatcher, exchange):
         self._dispatcher = dispatcher
         self._exchange = exchange
         self._method = exchange.request.method
-        self._headers = _passed_on(exchange.request.headers)
+        self._headers = _forwarded_headers(exchange.request.headers)
         self._retries_left = read_retries_left(exchange.request.headers)
         self._started = dispatcher.loop.now()
         self._tried = set()
@@ -55,20 +55,20 @@
         """
         dispatcher = self._dispatcher
         guard = self._exchange.guard
-        self._exchange.when_hung_up(self._on_hang_up)
+        self._exchange.set_disconnect_handler(self._on_disconnect)
         wait = max(0.0, self.remaining_ms / 1000)
         self._deadline_timer = dispatcher.loop.call_later(wait, guard(self._on_deadline))
         if not self._send("fresh"):
-            self._finish(dispatcher.refuse_for_want_of_target())
+            self._finish(dispatcher.no_target_refusal())
             return
-        if not self._finished and self._may_hedge():
+        if not self._finished and self._can_hedge():
             delay = hedge_delay(
-                dispatcher.quantile(self._exchange.service), self.remaining_ms, self._expected_ms
+                dispatcher.latency_quantile(self._exchange.service), self.remaining_ms, self._expected_ms
             )
             if delay is not None:
                 self._hedge_timer = dispatcher.loop.call_later(delay / 1000, guard(self._on_hedge))
 
-    def _may_hedge(self):
+    def _can_hedge(self):
         dispatcher = self._dispatcher
         return is_hedged(self._method) and not dispatcher.is_baseline
 
@@ -82,14 +82,14 @@
                 return False
             longest_wait_ms = 0.0
         else:
-            spill = self._may_spill() if spill is None else spill
-            longest_wait_ms = dispatcher.keeper.round_trip.longest_wait_ms if spill else None
+            spill = self._can_spill() if spill is None else spill
+            longest_wait_ms = dispatcher.load_tracker.round_trip.longest_wait_ms if spill else None
         self._expected_ms = choice.expected_ms
         self._log(kind, choice, longest_wait_ms)
         _Attempt(self, choice.candidate, kind == "hedge").start(longest_wait_ms)
         return True
 
-    def _may_spill(self):
+    def _can_spill(self):
         # An attempt that may hardly wait costs a message when it meets a full target. When all are
         # full these messages would come on top of the overload, so the budget ends them. Calls
         # already out when it is spent put it into debt, so over time the share holds.
@@ -101,18 +101,18 @@
         )
 
     def _log(self, kind, choice, longest_wait_ms):
-        chosen = choice.candidate
+        candidate = choice.candidate
         self._dispatcher.log.decision(
             "route",
             call=self._exchange.call_id,
             attempt=kind,
             service=self._exchange.service,
-            target=chosen.target,
+            target=candidate.target,
             reason=choice.reason,
             score=round(choice.score, 1),
-            own=chosen.own_in_flight,
-            others=chosen.others_in_flight,
-            age=chosen.report_age,
+            own=candidate.own_in_flight,
+            others=candidate.others_in_flight,
+            age=candidate.report_age,
             longest_wait_ms=longest_wait_ms,
             version=self._dispatcher.configuration.held.version,
         )
@@ -133,7 +133,7 @@
         )
         return CallMessage(
             call_id=0,
-            attempt=self._dispatcher.next_attempt(),
+            attempt=self._dispatcher.next_attempt_id(),
             service=self._exchange.service,
             target=target,
             deadline_ms=deadline_ms,
@@ -168,7 +168,7 @@
             self._on_busy(attempt)
             return
         dispatcher = self._dispatcher
-        if self._is_quarantined_by(attempt, result):
+        if self._record_blamed(attempt, result):
             self._finish(result)
             return
         if self._running and is_failure(result):
@@ -184,27 +184,27 @@
                 return
         self._finish(result)
 
-    def _is_quarantined_by(self, attempt, result):
+    def _record_blamed(self, attempt, result):
         # The retry of a request that crashes targets leaves within a millisecond. Without the
         # evidence in its headers the next target's node would let it in like any other.
         if not isinstance(result, Refusal) or result.code is not Code.TARGET_CRASHED:
             return False
         refused = self._dispatcher.quarantine.note_blamed(self._exchange, attempt.target)
-        self._headers = _passed_on(self._exchange.request.headers)
+        self._headers = _forwarded_headers(self._exchange.request.headers)
         return refused
 
     def _on_busy(self, attempt):
         if attempt.is_hedge:
             if not self._running:
-                self._finish(self._dispatcher.refuse_for_want_of_target())
+                self._finish(self._dispatcher.no_target_refusal())
             return
         dispatcher = self._dispatcher
         self._spills += 1
-        dispatcher.keeper.round_trip.record(attempt.elapsed_ms)
+        dispatcher.load_tracker.round_trip.record(attempt.elapsed_ms)
         dispatcher.counts["spills"] += 1
         dispatcher.spill_budget.charge()
         # The busy answers brought fresh reports, so an attempt that may wait chooses among all.
-        again = self._may_spill()
+        again = self._can_spill()
         if not self._send("spill", self._tried if again else (), again):
             self._send("spill", (), spill=False)
 
@@ -213,7 +213,7 @@
         if len(self._running) != 1 or self._retried:
             return
         (attempt,) = self._running
-        if not attempt.is_suspect(self._expected_ms):
+        if not attempt.check_overdue(self._expected_ms):
             return
         if self._send("hedge", self._tried):
             self._dispatcher.counts["hedges"] += 1
@@ -226,12 +226,12 @@
             self._exchange.refuse(result)
             return
         if is_failure(result):
-            result = self._mark_spent(result)
+            result = self._with_retries_left(result)
         elapsed = (self._dispatcher.loop.now() - self._started) * 1000
-        self._dispatcher.quantile(self._exchange.service).record(elapsed)
+        self._dispatcher.latency_quantile(self._exchange.service).record(elapsed)
         self._exchange.answer(result)
 
-    def _mark_spent(self, response):
+    def _with_retries_left(self, response):
         headers = tuple(pair for pair in response.headers if pair[0] != RETRIES_LEFT_HEADER)
         left = (RETRIES_LEFT_HEADER, b"%d" % retries_left_after(response, self._retries_left))
         return Response(response.status, (*headers, left), response.body)
@@ -242,10 +242,10 @@
         reason = "the deadline passed before the answer came"
         refusal = Refusal(Code.DEADLINE_EXCEEDED, reason, ran)
         for attempt in tuple(self._running):
-            attempt.note_missed(refusal)
+            attempt.record_missed_deadline(refusal)
         self._finish(refusal)
 
-    def _on_hang_up(self):
+    def _on_disconnect(self):
         self._finished = True
         self._stop()
 
@@ -258,17 +258,17 @@
             attempt.cancel()
 
 
-def _passed_on(headers):
-    return tuple(pair for pair in strip_hop_by_hop(headers) if pair[0] not in _OWN_HEADERS)
+def _forwarded_headers(headers):
+    return tuple(pair for pair in strip_hop_by_hop(headers) if pair[0] not in _REPLACED_HEADERS)
 
 
 class _Attempt:
     """One message to one target; its id is never used again."""
 
-    def __init__(self, calling, candidate, is_hedge):
-        self._calling = calling
-        self._dispatcher = calling._dispatcher
-        self._service = calling._exchange.service
+    def __init__(self, execution, candidate, is_hedge):
+        self._execution = execution
+        self._dispatcher = execution._dispatcher
+        self._service = execution._exchange.service
         self._candidate = candidate
         self._cancel = None
         self._done = False
@@ -287,13 +287,13 @@
 
     def start(self, longest_wait_ms):
         dispatcher, candidate = self._dispatcher, self._candidate
-        self._calling.on_attempt_started(self)
+        self._execution.on_attempt_started(self)
         self._sent_at = dispatcher.loop.now()
-        dispatcher.keeper.note_sent(candidate.target)
-        message = self._calling.make_message(candidate.target, longest_wait_ms)
-        guard = self._calling.guard
+        dispatcher.load_tracker.note_sent(candidate.target)
+        message = self._execution.make_message(candidate.target, longest_wait_ms)
+        guard = self._execution.guard
         if candidate.address == dispatcher.settings.listen.peers:
-            cancel = dispatcher.gatekeeper.run(message, guard(self._on_result))
+            cancel = dispatcher.admission_controller.run(message, guard(self._on_result))
         else:
             link = dispatcher.link(candidate.address)
             dispatcher.configuration.ride_on(link, candidate.address)
@@ -302,23 +302,23 @@
 
     def cancel(self):
         if not self._done:
-            self._settle(given_up_ms=self.elapsed_ms)
-            self._dispatcher.keeper.note_done(self.target, None)
+            self._mark_done(cancelled_after_ms=self.elapsed_ms)
+            self._dispatcher.load_tracker.note_done(self.target, None)
             self._cancel()
 
-    def is_suspect(self, typical_ms):
-        keeper = self._dispatcher.keeper
-        self._overdue = keeper.is_suspect(self.target, self._sent_at, typical_ms)
+    def check_overdue(self, expected_ms):
+        load_tracker = self._dispatcher.load_tracker
+        self._overdue = load_tracker.is_suspect(self.target, self._sent_at, expected_ms)
         return self._overdue
 
-    def _settle(self, given_up_ms=None):
+    def _mark_done(self, cancelled_after_ms=None):
         self._done = True
         if self._overdue:
-            self._dispatcher.keeper.note_overdue_done(self.target, given_up_ms)
+            self._dispatcher.load_tracker.note_overdue_done(self.target, cancelled_after_ms)
 
-    def note_missed(self, refusal):
+    def record_missed_deadline(self, refusal):
         if is_target_fault(refusal):
-            self._dispatcher.keeper.note_outcome(self._service, self.target, True)
+            self._dispatcher.load_tracker.note_outcome(self._service, self.target, True)
 
     def _on_message(self, message):
         if isinstance(message, Refusal):
@@ -335,16 +335,16 @@
     def _on_result(self, result, load):
         if self._done:
             return
-        self._settle()
-        keeper = self._dispatcher.keeper
+        self._mark_done()
+        load_tracker = self._dispatcher.load_tracker
         if load is not None:
             configuration = self._dispatcher.configuration
             configuration.hear_from(self._candidate.address, load.config_version)
         failed = is_target_fault(result)
         good = isinstance(result, Response) and not failed
-        keeper.note_done(self.target, load, self.elapsed_ms if good else None)
+        load_tracker.note_done(self.target, load, self.elapsed_ms if good else None)
         if failed or good:
-            ejected = keeper.note_outcome(self._service, self.target, failed)
+            ejected = load_tracker.note_outcome(self._service, self.target, failed)
             if ejected:
                 self._dispatcher.log.decision("eject", service=self._service, target=self.target)
-        self._calling.on_attempt_done(self, result)
+        self._execution.on_attempt_done(self, result)
--- a/packages/node/src/camphorshelf_node/claims.py
+++ b/packages/node/src/camphorshelf_node/claims.py
@@ -47,7 +47,7 @@
         self._dispatcher = dispatcher
         self._replica = replica
         owner = (settings.name, settings.listen.peers)
-        next_attempt = dispatcher.next_attempt
+        next_attempt = dispatcher.next_attempt_id
         self._incarnation = next_attempt().incarnation
         self._book = ClaimTracker(settings.claims, owner, next_attempt, random, invariants)
         self._writer = ClaimWriter(loop, settings.claims, platform, self._book.next_mark)
@@ -127,7 +127,7 @@
         # The call runs for whoever waits longest; the first caller may have given up by then.
         if earlier is None or earlier[0].deadline < exchange.deadline:
             self._calls[key] = exchange, proceed
-        exchange.when_hung_up(lambda: self._leave(key, token))
+        exchange.set_disconnect_handler(lambda: self._leave(key, token))
         wait = max(0.0, exchange.deadline - self._loop.now()) + _LATE_SECONDS
         exchange.timer = self._loop.call_later(wait, lambda: self._on_deadline(key, token))
         waiter = Waiter(token, is_first_send(exchange.request.headers))
--- a/packages/node/src/camphorshelf_node/config.py
+++ b/packages/node/src/camphorshelf_node/config.py
@@ -154,8 +154,8 @@
         :param address: the peer's address.
         :return: None.
         """
-        if link.told_version != self._held.version:
-            link.told_version = self._held.version
+        if link.announced_version != self._held.version:
+            link.announced_version = self._held.version
             self._ask(address, want_body=False, link=link)
 
     def hear_from(self, address, version):
--- a/packages/node/src/camphorshelf_node/dispatch.py
+++ b/packages/node/src/camphorshelf_node/dispatch.py
@@ -9,7 +9,7 @@
 from camphorshelf_core.retry import ShareBudget, add_jitter
 from camphorshelf_core.settings import split_address
 
-from .calling import Calling
+from .callexecution import CallExecution
 from .links import PeerLink
 
 _NO_TARGET_RETRY_MS = 1_000
@@ -27,9 +27,9 @@
         loop,
         settings,
         incarnation,
-        keeper,
-        gatekeeper,
-        sensing,
+        load_tracker,
+        admission_controller,
+        probes,
         quarantine,
         log,
         random,
@@ -39,14 +39,14 @@
         self._choose = make_chosen_policy(settings.entry, settings.failure_domain, random)
         self._random = random
         self.configuration = configuration
-        self._numbers = 0
+        self._attempt_count = 0
         self._links = {}
         self._quantiles = {}
         self.loop = loop
         self.settings = settings
-        self.keeper = keeper
-        self.gatekeeper = gatekeeper
-        self.sensing = sensing
+        self.load_tracker = load_tracker
+        self.admission_controller = admission_controller
+        self.probes = probes
         self.quarantine = quarantine
         self.log = log
         self.counts = Counter()
@@ -69,7 +69,7 @@
         self.counts["calls"] += 1
         for budget in (self.retry_budget, self.hedge_budget, self.spill_budget):
             budget.record_call()
-        Calling(self, exchange).start()
+        CallExecution(self, exchange).start()
 
     def choose(self, service, exclude=()):
         """Choose a target and, where the budget allows, probe another.
@@ -78,16 +78,16 @@
         :param exclude: names of targets not to choose.
         :return: a :class:`~camphorshelf_core.routing.Choice`, or None.
         """
-        candidates = self.keeper.candidates(service)
+        candidates = self.load_tracker.candidates(service)
         choice = self._choose(candidates, exclude)
         if choice is None:
             # None of those drawn takes work; before the call is refused, all are asked.
-            choice = self._choose(self.keeper.survey(service), exclude)
+            choice = self._choose(self.load_tracker.survey(service), exclude)
         if not self.is_baseline:
-            self.sensing.probe_one(candidates)
+            self.probes.probe_one(candidates)
         return choice
 
-    def refuse_for_want_of_target(self):
+    def no_target_refusal(self):
         """Make the refusal of a call that no target takes.
 
         :return: the :class:`Refusal`.
@@ -95,7 +95,7 @@
         after = add_jitter(_NO_TARGET_RETRY_MS, self._random)
         return Refusal(Code.NO_TARGET, "no target of the service takes work", retry_after_ms=after)
 
-    def quantile(self, service):
+    def latency_quantile(self, service):
         """Find the latency quantile of a service.
 
         :param service: its name.
@@ -107,13 +107,13 @@
             self._quantiles[service] = quantile
         return quantile
 
-    def next_attempt(self):
+    def next_attempt_id(self):
         """Name a new attempt.
 
         :return: an :class:`AttemptId` that this node never gives again.
         """
-        self._numbers += 1
-        return AttemptId(self._incarnation, self._numbers)
+        self._attempt_count += 1
+        return AttemptId(self._incarnation, self._attempt_count)
 
     def link(self, address):
         """Find or open the link to a peer.
--- a/packages/node/src/camphorshelf_node/drain.py
+++ b/packages/node/src/camphorshelf_node/drain.py
@@ -3,27 +3,27 @@
 from camphorshelf_core.calls import Request
 from camphorshelf_core.drain import Drain, Phase
 
-from .httpclient import Failed
+from .httpclient import RequestFailure
 from .streams import dial
 
-_STEP_SECONDS = 0.05
-_PROBE_SECONDS = 0.25
+_STEP_INTERVAL_SECONDS = 0.05
+_PROBE_INTERVAL_SECONDS = 0.25
 _HEADERS = ((b"host", b"target"),)
-_SERVER_ERRORS = 500
+_MIN_SERVER_ERROR_STATUS = 500
 
 
 class Drainer:
     """Carries out what the :class:`Drain` says; asks for nothing while the target serves."""
 
-    def __init__(self, loop, settings, gatekeeper):
+    def __init__(self, loop, settings, admission_controller):
         self._loop = loop
         self._settings = settings
-        self._gatekeeper = gatekeeper
+        self._admission_controller = admission_controller
         self._drain = Drain()
         self._instance = None
         self._announced_at = 0.0
-        self._stepping = False
-        self._next_try = 0.0
+        self._is_step_scheduled = False
+        self._next_contact_at = 0.0
         self.client = None
 
     @property
@@ -36,7 +36,7 @@
         """Where the target stands."""
         return self._drain.phase(self._in_flight())
 
-    def wish(self, source, leaving):
+    def set_leaving(self, source, leaving):
         """Note that somebody wants the target to leave, or no longer wants it.
 
         :param source: a :class:`~camphorshelf_core.drain.Source`.
@@ -44,10 +44,10 @@
         :return: None.
         """
         self._drain.set_leaving(source, leaving)
-        self._gatekeeper.apply()
-        self._start_steps()
+        self._admission_controller.update_gate()
+        self._schedule_step()
 
-    def note_announced(self, instance):
+    def record_announced(self, instance):
         """Note that the target announced itself.
 
         :param instance: names the target's process, or None.
@@ -59,19 +59,19 @@
                 self._drain.record_gone()
             self._instance = instance
         self._drain.record_announced()
-        self._gatekeeper.apply()
-        self._start_steps()
+        self._admission_controller.update_gate()
+        self._schedule_step()
 
     def _in_flight(self):
-        return self._gatekeeper.gate.in_flight
+        return self._admission_controller.gate.in_flight
 
-    def _start_steps(self):
-        if self._drain.closed and not self._stepping:
-            self._stepping = True
+    def _schedule_step(self):
+        if self._drain.closed and not self._is_step_scheduled:
+            self._is_step_scheduled = True
             self._loop.call_later(0, self._step)
 
     def _step(self):
-        self._stepping = False
+        self._is_step_scheduled = False
         now = self._loop.now()
         phase = self.phase
         if phase is Phase.GONE or not self._drain.closed:
@@ -79,34 +79,34 @@
         if phase is Phase.EMPTY and now - self._announced_at > self._settings.silent_ms / 1000:
             self._on_gone()
             return
-        if now >= self._next_try:
-            self._try(now)
-        self._stepping = True
-        self._loop.call_later(_STEP_SECONDS, self._step)
+        if now >= self._next_contact_at:
+            self._contact_target(now)
+        self._is_step_scheduled = True
+        self._loop.call_later(_STEP_INTERVAL_SECONDS, self._step)
 
-    def _try(self, now):
+    def _contact_target(self, now):
         if self.client is None:
             return
         if self._drain.must_notify(self._in_flight()):
-            self._next_try = now + self._settings.retry_ms / 1000
+            self._next_contact_at = now + self._settings.retry_ms / 1000
             request = Request("POST", self._settings.path.encode(), _HEADERS, b"")
-            self.client.send(request, self._on_told)
+            self.client.send(request, self._on_notified)
         elif self._drain.is_notified:
-            self._next_try = now + _PROBE_SECONDS
+            self._next_contact_at = now + _PROBE_INTERVAL_SECONDS
             self._probe()
 
-    def _on_told(self, result):
-        if isinstance(result, Failed):
+    def _on_notified(self, result):
+        if isinstance(result, RequestFailure):
             if not result.sent:
                 self._on_gone()
-        elif result.status < _SERVER_ERRORS and self._drain.must_notify(self._in_flight()):
+        elif result.status < _MIN_SERVER_ERROR_STATUS and self._drain.must_notify(self._in_flight()):
             # A target without this path answers 404; it reads on its next announcement that
             # it is empty.
             self._drain.record_notified()
-            self._gatekeeper.log.info("the target is empty and was told so")
+            self._admission_controller.log.info("the target is empty and was told so")
 
     def _probe(self):
-        stream = dial(self._loop, self._gatekeeper.crashes.address)
+        stream = dial(self._loop, self._admission_controller.crashes.address)
 
         def on_connect():
             stream.on_close = None
@@ -118,5 +118,5 @@
     def _on_gone(self):
         if self._drain.closed:
             self._drain.record_gone()
-            self._gatekeeper.apply()
-            self._gatekeeper.log.info("the leaving target has ended")
+            self._admission_controller.update_gate()
+            self._admission_controller.log.info("the leaving target has ended")
--- a/packages/node/src/camphorshelf_node/exchange.py
+++ b/packages/node/src/camphorshelf_node/exchange.py
@@ -3,9 +3,9 @@
 from camphorshelf_core.errors import Code, Ran, Refusal, http_status
 from camphorshelf_core.retry import RETRIES_LEFT_HEADER
 
-from .headers import strip_own
+from .headers import strip_reserved
 
-CALL_HEADER = b"camphorshelf-call"
+CALL_ID_HEADER = b"camphorshelf-call"
 
 
 class Exchange:
@@ -13,7 +13,7 @@
 
     def __init__(self, connection, request, keep_alive, received):
         self._connection = connection
-        self._on_hang_up = None
+        self._on_disconnect = None
         self._finished = False
         self.request = request
         self.keep_alive = keep_alive
@@ -38,23 +38,23 @@
         """The IP number that the request came from."""
         return self._connection.peer
 
-    def when_hung_up(self, callback):
+    def set_disconnect_handler(self, callback):
         """Say what to do when the caller goes away first.
 
         :param callback: takes no argument.
         :return: None.
         """
-        self._on_hang_up = callback
+        self._on_disconnect = callback
 
-    def hang_up(self):
+    def record_disconnect(self):
         """Tell that the caller is gone.
 
         :return: None.
         """
         if not self._finished:
             self._finished = True
-            if self._on_hang_up is not None:
-                self._on_hang_up()
+            if self._on_disconnect is not None:
+                self._on_disconnect()
 
     def answer(self, response):
         """Give the caller a target's answer; a second answer is dropped.
@@ -62,7 +62,7 @@
         :param response: the :class:`Response`.
         :return: None.
         """
-        self._send(response.status, strip_own(response.headers), response.body)
+        self._send(response.status, strip_reserved(response.headers), response.body)
 
     def refuse(self, refusal):
         """Give the caller a final refusal; a second answer is dropped.
@@ -100,17 +100,17 @@
         """
         if self._finished:
             raise error
-        self.refuse(refuse_fault(error))
-        self._connection.note_fault(error)
-        if self._on_hang_up is not None:
-            self._on_hang_up()
+        self.refuse(internal_error_refusal(error))
+        self._connection.report_fault(error)
+        if self._on_disconnect is not None:
+            self._on_disconnect()
 
     def _send(self, status, headers, body):
         if self._finished:
             return
         self._finished = True
         if self.call_id is not None:
-            headers = (*headers, (CALL_HEADER, self.call_id.encode()))
+            headers = (*headers, (CALL_ID_HEADER, self.call_id.encode()))
         self._connection.answer(self, status, headers, body)
 
 
@@ -150,7 +150,7 @@
     return run
 
 
-def refuse_fault(error):
+def internal_error_refusal(error):
     """Make the refusal of a call that met a fault of our own.
 
     :param error: the exception.
--- a/packages/node/src/camphorshelf_node/filters.py
+++ b/packages/node/src/camphorshelf_node/filters.py
@@ -5,27 +5,27 @@
 
 from .headers import DEADLINE_HEADER
 
-_MAX_CALLER = 64
+_MAX_CALLER_BYTES = 64
 
 
-def make_chain(filters, last):
+def make_chain(filters, handler):
     """Join filters into one function.
 
     :param filters: functions that take an exchange and the next step.
     :param last: takes the exchange that passed them all.
     :return: a function that takes an exchange.
     """
-    step = last
-    for one in reversed(filters):
-        step = _bind(one, step)
-    return step
+    next_step = handler
+    for filter_ in reversed(filters):
+        next_step = _bind(filter_, next_step)
+    return next_step
 
 
-def _bind(one, following):
-    return lambda exchange: one(exchange, following)
+def _bind(filter_, next_step):
+    return lambda exchange: filter_(exchange, next_step)
 
 
-def make_identity_filter(services):
+def make_identity_filter(is_known_service):
     """Make the filter that tells the service from the Host header.
 
     :param services: tells whether a service of that name is known.
@@ -38,7 +38,7 @@
             exchange.refuse(Refusal(Code.BAD_REQUEST, "a Host header is required"))
             return
         exchange.service = host.split(b":")[0].split(b".")[0].decode("latin-1").lower()
-        if not services(exchange.service):
+        if not is_known_service(exchange.service):
             reason = "no such service, or none of its targets is known yet"
             exchange.refuse(Refusal(Code.UNKNOWN_SERVICE, reason, retry_after_ms=1000))
             return
@@ -58,7 +58,7 @@
     def identify_caller(exchange, proceed):
         value = header(exchange.request.headers, name) if name else None
         if value:
-            exchange.caller = value[:_MAX_CALLER].decode("latin-1")
+            exchange.caller = value[:_MAX_CALLER_BYTES].decode("latin-1")
         else:
             exchange.caller = exchange.peer
         proceed(exchange)
--- a/packages/node/src/camphorshelf_node/headers.py
+++ b/packages/node/src/camphorshelf_node/headers.py
@@ -5,7 +5,7 @@
 from camphorshelf_core.calls import header
 
 DEADLINE_HEADER = b"deadline-ms"
-_OWN_PREFIX = b"camphorshelf-"
+_RESERVED_PREFIX = b"camphorshelf-"
 _HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -22,8 +22,8 @@
 # Naming one of these in Connection must not remove it: a caller could strip the deadline or
 # the key that makes its own work run once, or the Host that told the service.
 _END_TO_END = frozenset({b"host", b"content-length", b"idempotency-key", DEADLINE_HEADER})
-_REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
-_OWN_REQUEST_HEADERS = frozenset({b"content-length", b"expect"})
+_REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
+_REPLACED_REQUEST_HEADERS = frozenset({b"content-length", b"expect"})
 _BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
 BODILESS = frozenset({204, 304})
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -43,7 +43,7 @@
     return tuple([pair for pair in headers if pair[0] not in dropped])
 
 
-def strip_own(headers):
+def strip_reserved(headers):
     """Drop from a target's answer what only nodes may say to callers.
 
     :param headers: pairs of lower-case name and value.
@@ -51,7 +51,7 @@
     """
     # A target that passes on a refusal it got as a caller itself would make its own answer look
     # like a node's word on this call: "not run", though it ran.
-    return [pair for pair in headers if not pair[0].startswith(_OWN_PREFIX)]
+    return [pair for pair in headers if not pair[0].startswith(_RESERVED_PREFIX)]
 
 
 def with_deadline(headers, milliseconds):
@@ -73,13 +73,13 @@
     :return: head and body.
     """
     lines = [b"%s %s HTTP/1.1" % (request.method.encode(), request.path)]
-    lines += [b"%s: %s" % pair for pair in request.headers if pair[0] not in _OWN_REQUEST_HEADERS]
+    lines += [b"%s: %s" % pair for pair in request.headers if pair[0] not in _REPLACED_REQUEST_HEADERS]
     if request.body or request.method in _BODY_METHODS:
         lines.append(b"content-length: %d" % len(request.body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + request.body
 
 
-def render_answer(status, headers, body, method, close):
+def render_response(status, headers, body, method, close):
     """Turn an answer for a caller into bytes.
 
     :param status: the HTTP status.
@@ -89,7 +89,7 @@
     :param close: whether the connection ends behind it.
     :return: head and body.
     """
-    lines = [b"HTTP/1.1 %d %s" % (status, _REASONS.get(status, b""))]
+    lines = [b"HTTP/1.1 %d %s" % (status, _REASON_PHRASES.get(status, b""))]
     lines += [b"%s: %s" % pair for pair in headers if pair[0] != b"content-length"]
     bodiless = method == "HEAD" or status in BODILESS
     if not bodiless:
--- a/packages/node/src/camphorshelf_node/http.py
+++ b/packages/node/src/camphorshelf_node/http.py
@@ -8,18 +8,18 @@
 from camphorshelf_core.errors import Code, Refusal
 
 from .exchange import Exchange, render_refusal
-from .headers import CONTINUE, render_answer
+from .headers import CONTINUE, render_response
 
 _MAX_WAITING = 16
 # Requests of one connection that are under way at once. Further ones wait to be begun, so that a
 # caller who sends many ahead takes no more of the targets than a few callers do.
-_MAX_BEGUN = 8
-_HEAD_PIECE = 1_024
-_BODY_PIECE = 16_384
+_MAX_IN_PROGRESS = 8
+_HEAD_CHUNK_BYTES = 1_024
+_BODY_CHUNK_BYTES = 16_384
 _VERSIONS = frozenset({"1.0", "1.1"})
 # Methods that the parser knows from other protocols, and the one that asks for a tunnel.
 _REFUSED_METHODS = frozenset({b"CONNECT", b"SOURCE", b"PRI"})
-_HEADER_OVERHEAD = 4
+_HEADER_OVERHEAD_BYTES = 4
 
 
 class HttpConnection:
@@ -50,27 +50,27 @@
         self._may_overlap = may_overlap
         self._parser = httptools.HttpRequestParser(self)
         self._waiting = deque()
-        self._begun = deque()
+        self._in_progress = deque()
         self._answers = {}
         self._held_bytes = 0
         self._unread = b""
         self._in_head = True
         self._head_bytes = 0
         self._continue_due = False
-        self._last_request = False
+        self._is_finishing = False
         self._timer = None
-        self._timer_due = 0.0
-        self._due = None
-        self._due_unsent = 0
+        self._timer_due_at = 0.0
+        self._timeout_at = None
+        self._unsent_at_timeout_start = 0
         self._phase = None
         self._requests = 0
-        self._refused = None
+        self._refusal = None
         self.peer = ""
         stream.on_data = self._on_data
         stream.on_close = self._on_close
-        stream.on_drain = self._next
+        stream.on_drain = self._advance
         self.on_message_begin()
-        self._arm(limits.idle_timeout_ms)
+        self._set_timeout(limits.idle_timeout_ms)
         stream.open()
 
     @property
@@ -96,11 +96,11 @@
 
         :return: None.
         """
-        self._last_request = True
+        self._is_finishing = True
         if not self.busy:
             self._stream.close_when_sent()
 
-    def note_fault(self, error):
+    def report_fault(self, error):
         """Report an exception in the code of one call.
 
         :param error: the exception.
@@ -119,11 +119,11 @@
         :return: None.
         """
         self._answers[exchange] = status, headers, body
-        while self._begun and self._begun[0] in self._answers:
+        while self._in_progress and self._in_progress[0] in self._answers:
             if self._send_first():
-                self._end()
+                self._end_connection()
                 return
-        self._next()
+        self._advance()
 
     def on_message_begin(self):
         """Called by the parser at the start of a request."""
@@ -145,13 +145,13 @@
             return
         # The parser gives trailers like headers. Taken as such, a caller could set a second
         # Host or deadline behind the checks; they are counted and dropped.
-        self._trailer_bytes += len(name) + len(value) + _HEADER_OVERHEAD
+        self._trailer_bytes += len(name) + len(value) + _HEADER_OVERHEAD_BYTES
         if self._trailer_bytes > self._limits.head_bytes:
             raise _RefusedError(Code.HEADERS_TOO_LARGE, "the trailers are larger than allowed")
 
     def on_headers_complete(self):
         """Called by the parser at the end of the head."""
-        size = len(self._url) + sum(len(n) + len(v) + _HEADER_OVERHEAD for n, v in self._headers)
+        size = len(self._url) + sum(len(n) + len(v) + _HEADER_OVERHEAD_BYTES for n, v in self._headers)
         if size > self._limits.head_bytes:
             raise _RefusedError(Code.HEADERS_TOO_LARGE, "the head is larger than allowed")
         version = self._parser.get_http_version()
@@ -187,46 +187,46 @@
 
     @property
     def _pending(self):
-        return bool(self._begun or self._waiting)
+        return bool(self._in_progress or self._waiting)
 
     @property
-    def _full(self):
+    def _is_full(self):
         return len(self._waiting) >= _MAX_WAITING or self._held_bytes > self._limits.body_bytes
 
     def _on_data(self, data):
-        if self._refused is not None:
+        if self._refusal is not None:
             return
         if self._unread:
             self._unread += data
-        elif self._full:
+        elif self._is_full:
             self._unread = data
         else:
             self._read(data)
-        self._next()
+        self._advance()
 
     def _read(self, data):
         # Fed in small pieces, so that a caller who sends many requests ahead is held back by
         # TCP, not refused, and cannot make the node keep more than a few of them.
         start = 0
-        while start < len(data) and self._refused is None:
-            if self._full:
+        while start < len(data) and self._refusal is None:
+            if self._is_full:
                 self._unread = data[start:]
                 self._stream.pause()
                 return
-            size = _HEAD_PIECE if self._in_head else _BODY_PIECE
+            size = _HEAD_CHUNK_BYTES if self._in_head else _BODY_CHUNK_BYTES
             self._feed(data[start : start + size])
             start += size
 
-    def _feed(self, piece):
+    def _feed(self, chunk):
         if self._in_head:
-            self._head_bytes += len(piece)
+            self._head_bytes += len(chunk)
         try:
-            self._parser.feed_data(piece)
+            self._parser.feed_data(chunk)
             if self._in_head and self._head_bytes > self._limits.head_bytes:
                 raise _RefusedError(Code.HEADERS_TOO_LARGE, "the head is larger than allowed")
         except httptools.HttpParserUpgrade as upgrade:
             # A server may ignore a wish to change the protocol; the parser stops behind it.
-            rest = piece[upgrade.args[0] :]
+            rest = chunk[upgrade.args[0] :]
             if rest:
                 self._feed(rest)
         except httptools.HttpParserError as error:
@@ -239,47 +239,47 @@
             self._refuse(refused.refusal)
 
     def _refuse(self, refusal):
-        self._refused = refusal
+        self._refusal = refusal
         self._unread = b""
         self._in_head = True
         self._head_bytes = 0
 
     def _send_first(self):
-        exchange = self._begun.popleft()
+        exchange = self._in_progress.popleft()
         status, headers, body = self._answers.pop(exchange)
         self._held_bytes -= len(exchange.request.body)
-        is_last = not exchange.keep_alive or (self._last_request and not self._begun)
-        self._stream.write(render_answer(status, headers, body, exchange.request.method, is_last))
+        is_last = not exchange.keep_alive or (self._is_finishing and not self._in_progress)
+        self._stream.write(render_response(status, headers, body, exchange.request.method, is_last))
         if self._on_answer is not None:
             self._on_answer(exchange, exchange.code)
         return is_last
 
-    def _next(self):
-        if self._stream.closed or (self._begun and not self._may_begin()):
+    def _advance(self):
+        if self._stream.closed or (self._in_progress and not self._can_start_next()):
             return
         if self._stream.unsent:
             # The answers of further requests would pile up behind what a slow reader has not
             # taken yet.
-            self._arm(self._limits.body_timeout_ms, "drain")
+            self._set_timeout(self._limits.body_timeout_ms, "drain")
             return
-        if self._unread and not self._full:
+        if self._unread and not self._is_full:
             data, self._unread = self._unread, b""
             self._stream.resume()
             self._read(data)
-        if self._may_begin():
+        if self._can_start_next():
             self._start_next()
-        elif not self._begun:
-            self._await_more()
+        elif not self._in_progress:
+            self._await_request()
 
-    def _may_begin(self):
-        if not self._waiting or not self._begun:
+    def _can_start_next(self):
+        if not self._waiting or not self._in_progress:
             return bool(self._waiting)
         # Work that must not run twice is under way alone: behind an answer that closes the
         # connection, or one that never comes, its caller would send it again.
-        last = self._begun[-1]
+        last = self._in_progress[-1]
         return (
-            len(self._begun) < _MAX_BEGUN
-            and not self._last_request
+            len(self._in_progress) < _MAX_IN_PROGRESS
+            and not self._is_finishing
             and self._may_overlap is not None
             and last.keep_alive
             and self._may_overlap(last.request)
@@ -287,110 +287,110 @@
         )
 
     def _start_next(self):
-        self._arm(None)
+        self._set_timeout(None)
         exchange = self._waiting.popleft()
-        self._begun.append(exchange)
+        self._in_progress.append(exchange)
         try:
             self._on_request(exchange)
         except Exception as error:
             exchange.fail(error)
-        if self._may_begin():
-            self._next()
+        if self._can_start_next():
+            self._advance()
 
-    def _await_more(self):
-        if self._refused is not None:
+    def _await_request(self):
+        if self._refusal is not None:
             self._send_refusal()
         elif not self._in_head:
             self._start_body()
-        elif self._last_request and self._head_bytes == 0:
-            self._end()
+        elif self._is_finishing and self._head_bytes == 0:
+            self._end_connection()
         else:
             self._await_head()
 
     def _await_head(self):
         if self._head_bytes == 0:
-            self._arm(self._limits.idle_timeout_ms, "idle")
+            self._set_timeout(self._limits.idle_timeout_ms, "idle")
         else:
-            self._arm(self._limits.head_timeout_ms, "head")
+            self._set_timeout(self._limits.head_timeout_ms, "head")
 
     def _start_body(self):
-        self._arm(self._limits.body_timeout_ms, "body")
+        self._set_timeout(self._limits.body_timeout_ms, "body")
         if self._continue_due:
             self._continue_due = False
             self._stream.write(CONTINUE)
 
     def _send_refusal(self):
-        status, headers, body = render_refusal(self._refused)
-        self._stream.write(render_answer(status, headers, body, "GET", close=True))
-        self._end()
+        status, headers, body = render_refusal(self._refusal)
+        self._stream.write(render_response(status, headers, body, "GET", close=True))
+        self._end_connection()
 
-    def _end(self):
+    def _end_connection(self):
         self._waiting.clear()
         self._unread = b""
-        self._refused = self._refused or Refusal(Code.CANCELLED, "the connection has ended")
-        self._arm(self._limits.body_timeout_ms)
+        self._refusal = self._refusal or Refusal(Code.CANCELLED, "the connection has ended")
+        self._set_timeout(self._limits.body_timeout_ms)
         self._stream.close_when_sent()
 
-    def _arm(self, milliseconds, phase=None):
+    def _set_timeout(self, milliseconds, phase=None):
         # More bytes of the same head or body give no more time, or a sender could trickle.
         phase = phase and (phase, self._requests)
         if phase is not None and phase == self._phase:
             return
         self._phase = phase
-        self._due_unsent = self._stream.unsent
+        self._unsent_at_timeout_start = self._stream.unsent
         if milliseconds is None or self._stream.closed:
-            self._due = None
+            self._timeout_at = None
             return
         # A timer that falls due too early is set again then. Two new ones for each request would
         # be two thirds of what all timers cost.
-        self._due = self._loop.now() + milliseconds / 1000
-        if self._timer is None or self._timer_due > self._due:
+        self._timeout_at = self._loop.now() + milliseconds / 1000
+        if self._timer is None or self._timer_due_at > self._timeout_at:
             self._set_timer()
 
     def _set_timer(self):
         if self._timer is not None:
             self._timer.cancel()
-        self._timer_due = self._due
-        self._timer = self._loop.call_later(self._due - self._loop.now(), self._on_timer)
+        self._timer_due_at = self._timeout_at
+        self._timer = self._loop.call_later(self._timeout_at - self._loop.now(), self._on_timer)
 
     def _on_timer(self):
         self._timer = None
-        if self._due is None:
+        if self._timeout_at is None:
             return
-        if self._due > self._loop.now():
+        if self._timeout_at > self._loop.now():
             self._set_timer()
         else:
-            self._due = self._phase = None
+            self._timeout_at = self._phase = None
             self._on_timeout()
 
     def _on_timeout(self):
         if self._stream.unsent:
-            if self._stream.unsent >= self._due_unsent:
+            if self._stream.unsent >= self._unsent_at_timeout_start:
                 self._stream.close()
             else:
-                self._arm(self._limits.body_timeout_ms)
+                self._set_timeout(self._limits.body_timeout_ms)
         elif self._pending:
             return
-        elif self._refused is not None or (self._in_head and self._head_bytes == 0):
+        elif self._refusal is not None or (self._in_head and self._head_bytes == 0):
             self._stream.close()
         else:
             reason = "the request took too long to arrive"
             self._refuse(Refusal(Code.SENDER_TOO_SLOW, reason))
-            self._next()
+            self._advance()
 
     def _on_close(self):
-        self._due = None
+        self._timeout_at = None
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        begun, self._begun = self._begun, deque()
+        in_progress, self._in_progress = self._in_progress, deque()
         self._answers.clear()
         self._waiting.clear()
         self._unread = b""
         if self._when_closed is not None:
             self._when_closed(self)
-        for exchange in begun:
-            exchange.hang_up()
+        for exchange in in_progress:
+            exchange.record_disconnect()
 
 
 class _RefusedError(Exception):
--- a/packages/node/src/camphorshelf_node/httpclient.py
+++ b/packages/node/src/camphorshelf_node/httpclient.py
@@ -11,10 +11,10 @@
 
 # Servers commonly close what was idle for five seconds or more. Work that must not run twice
 # cannot be sent again when such a close crosses it, so it keeps off connections that old.
-_FRESH_SECONDS = 4.0
+_MAX_IDLE_SECONDS = 4.0
 
 
-class Failed(NamedTuple):
+class RequestFailure(NamedTuple):
     """A request without a whole answer; ``sent`` tells whether it may have run."""
 
     reason: str
@@ -64,7 +64,7 @@
             self._idle.pop().close()
 
     def _assign(self, exchange):
-        connection = None if exchange.retried else self._take_kept(exchange)
+        connection = None if exchange.retried else self._take_idle(exchange)
         if connection is not None:
             connection.run(exchange)
         elif self._open < self._max_connections:
@@ -75,8 +75,8 @@
         else:
             self._waiting.append(exchange)
 
-    def _take_kept(self, exchange):
-        oldest = self._loop.now() - _FRESH_SECONDS
+    def _take_idle(self, exchange):
+        oldest = self._loop.now() - _MAX_IDLE_SECONDS
         while self._idle:
             connection = self._idle[-1]
             if connection.stale:
@@ -92,13 +92,13 @@
         try:
             stream = dial(self._loop, self._address)
         except OSError as error:
-            failed = Failed(f"no connection: {error.strerror}", sent=False)
+            failed = RequestFailure(f"no connection: {error.strerror}", sent=False)
             self._loop.call_later(0, lambda: exchange.finish(failed))
             return
         self._open += 1
         _ClientConnection(self, stream).run(exchange)
 
-    def _give_back(self, connection):
+    def _release(self, connection):
         connection.idle_since = self._loop.now()
         while self._waiting:
             exchange = self._waiting.popleft()
@@ -110,7 +110,7 @@
         else:
             self._idle.append(connection)
 
-    def _forget(self, connection):
+    def _discard(self, connection):
         self._open -= 1
         if connection in self._idle:
             self._idle.remove(connection)
@@ -159,7 +159,7 @@
         self._stream = stream
         self._exchange = None
         self._connected = False
-        self._kept = False
+        self._reused = False
         self._reader = None
         self.idle_since = 0.0
         stream.on_data = self._on_data
@@ -197,8 +197,8 @@
         if self._stream.stale:
             self._stream.close()
             return
-        self._kept = True
-        self._client._give_back(self)
+        self._reused = True
+        self._client._release(self)
 
     def _on_connect(self):
         self._connected = True
@@ -209,7 +209,7 @@
         exchange = self._exchange
         if exchange.may_send is not None and not exchange.may_send():
             self._exchange = None
-            failed = Failed("it was no longer wanted", exchange.sent)
+            failed = RequestFailure("it was no longer wanted", exchange.sent)
             self._finish(exchange, failed, keep=True)
             return
         exchange.sent = True
@@ -223,29 +223,29 @@
         try:
             self._reader.feed(data)
         except ResponseError as error:
-            self._fail(str(error))
+            self._fail_exchange(str(error))
             return
         response = self._reader.response
         if response is not None:
             exchange, self._exchange = self._exchange, None
-            self._finish(exchange, response, self._reader.leaves_reusable)
+            self._finish(exchange, response, self._reader.is_connection_reusable)
 
-    def _fail(self, reason):
+    def _fail_exchange(self, reason):
         exchange, self._exchange = self._exchange, None
         self._stream.close()
         if exchange is not None:
-            exchange.finish(Failed(reason, exchange.sent))
+            exchange.finish(RequestFailure(reason, exchange.sent))
 
     def _on_close(self):
-        self._client._forget(self)
+        self._client._discard(self)
         exchange, self._exchange = self._exchange, None
         if exchange is None:
             return
-        if self._kept and not self._answered and exchange.idempotent and not exchange.retried:
+        if self._reused and not self._answered and exchange.idempotent and not exchange.retried:
             # The target closed an idle connection just as the request went out. The caller
             # would get an error from a healthy target; a second run of an idempotent request
             # does no harm. For others it might be the second run, so they are told.
             exchange.retry()
             return
         reason = "the connection was lost" if self._connected else "no connection"
-        exchange.finish(Failed(reason, exchange.sent))
+        exchange.finish(RequestFailure(reason, exchange.sent))
--- a/packages/node/src/camphorshelf_node/keyedcall.py
+++ b/packages/node/src/camphorshelf_node/keyedcall.py
@@ -1,6 +1,6 @@
 """A call under a key on its way to a target, apart from the callers that wait for it."""
 
-from .exchange import refuse_fault, wrap_callback
+from .exchange import internal_error_refusal, wrap_callback
 
 
 class KeyedCall:
@@ -25,7 +25,7 @@
         """Whether the result is known."""
         return self._finished
 
-    def when_hung_up(self, callback):
+    def set_disconnect_handler(self, callback):
         """Take note of nothing: this call is not given up with its caller.
 
         :param callback: never called.
@@ -64,7 +64,7 @@
         """
         if self._finished:
             raise error
-        self.refuse(refuse_fault(error))
+        self.refuse(internal_error_refusal(error))
 
     def _finish(self, result):
         if not self._finished:
--- a/packages/node/src/camphorshelf_node/links.py
+++ b/packages/node/src/camphorshelf_node/links.py
@@ -25,16 +25,16 @@
 
 from .streams import dial
 
-_MAX_MESSAGE = 32 * 1024 * 1024
-_MAX_BODY = _MAX_MESSAGE - 1024 * 1024
+_MAX_MESSAGE_BYTES = 32 * 1024 * 1024
+_MAX_BODY_BYTES = _MAX_MESSAGE_BYTES - 1024 * 1024
 # A large body in one frame would hold up every other message of its link: 64 MB take 100 s on the
 # slowest links (5 Mbit/s), a piece 0.1 s. Pieces wait until what was sent before has gone out.
-_PIECE_BYTES = 64 * 1024
-_WINDOW_BYTES = 64 * 1024
-_MAX_ASSEMBLED = 96 * 1024 * 1024
+_FRAGMENT_BYTES = 64 * 1024
+_SEND_WINDOW_BYTES = 64 * 1024
+_MAX_REASSEMBLED_BYTES = 96 * 1024 * 1024
 # Packets lost in a row can hold up a connection for a second or two; the kernel gives up later.
-KERNEL_SILENCE_SECONDS = 4.0
-_MAX_UNSENT = 128 * 1024 * 1024
+TCP_TIMEOUT_SECONDS = 4.0
+_MAX_UNSENT_BYTES = 128 * 1024 * 1024
 
 
 class Channel:
@@ -46,15 +46,15 @@
         self._on_message = on_message
         self._on_close = on_close
         self._unsent = []
-        self._large = deque()
-        self._numbers = itertools.count(1)
+        self._fragmented = deque()
+        self._message_numbers = itertools.count(1)
         self._incoming = {}
-        self.heard = 0
+        self.reads = 0
         # Whether the handshake was ever over: until then no message has been sent.
-        self.opened = False
+        self.handshake_done = False
         stream.on_data = self._on_data
         stream.on_close = on_close
-        stream.on_drain = self._pump
+        stream.on_drain = self._send_fragments
 
     @property
     def closed(self):
@@ -88,24 +88,24 @@
             self._unsent.append(message)
             return
         data = encode(message)
-        if len(data) <= _PIECE_BYTES:
+        if len(data) <= _FRAGMENT_BYTES:
             self._protocol.send_binary(data)
             self._flush()
         else:
             call_id = getattr(message, "call_id", None)
-            self._large.append(_Large(next(self._numbers), call_id, data))
-            self._pump()
+            self._fragmented.append(_FragmentedMessage(next(self._message_numbers), call_id, data))
+            self._send_fragments()
 
-    def drop(self, call_id):
+    def abort(self, call_id):
         """Send no more of a message that goes out in pieces.
 
         :param call_id: its call.
         :return: whether some of it had not been sent, so that the peer never gets it whole.
         """
-        for large in self._large:
-            if large.call_id == call_id:
-                self._large.remove(large)
-                self.send(FragmentsAbortedMessage(large.number))
+        for fragmented in self._fragmented:
+            if fragmented.call_id == call_id:
+                self._fragmented.remove(fragmented)
+                self.send(FragmentsAbortedMessage(fragmented.number))
                 return True
         return False
 
@@ -117,7 +117,7 @@
         self._stream.close()
 
     def _on_data(self, data):
-        self.heard += 1
+        self.reads += 1
         self._protocol.receive_data(data)
         for event in self._protocol.events_received():
             self._on_event(event)
@@ -132,21 +132,21 @@
             return
         if isinstance(event, Request):
             self._protocol.send_response(self._protocol.accept(event))
-        self.opened = True
+        self.handshake_done = True
         unsent, self._unsent = self._unsent, []
         for message in unsent:
             self.send(message)
 
     def _on_frame(self, frame):
         try:
-            message = self._assemble(decode(bytes(frame.data)))
+            message = self._reassemble(decode(bytes(frame.data)))
         except ProtocolError:
             self._stream.close()
             return
         if message is not None:
             self._on_message(message)
 
-    def _assemble(self, message):
+    def _reassemble(self, message):
         if isinstance(message, FragmentsAbortedMessage):
             self._incoming.pop(message.number, None)
             return None
@@ -154,21 +154,21 @@
             return message
         parts = self._incoming.setdefault(message.number, bytearray())
         parts += message.data
-        if len(parts) > _MAX_ASSEMBLED:
+        if len(parts) > _MAX_REASSEMBLED_BYTES:
             raise ProtocolError("a message in pieces is larger than allowed")
         if not message.is_last:
             return None
         return decode(bytes(self._incoming.pop(message.number)))
 
-    def _pump(self):
+    def _send_fragments(self):
         # One piece of each large message in turn, and only while little waits to go out: what is
         # sent meanwhile stands behind one piece, not behind the rest of a body.
-        while self._large and self._stream.unsent < _WINDOW_BYTES and not self._stream.closed:
-            large = self._large.popleft()
-            piece, is_last = large.take()
-            self._protocol.send_binary(encode(FragmentMessage(large.number, is_last, piece)))
+        while self._fragmented and self._stream.unsent < _SEND_WINDOW_BYTES and not self._stream.closed:
+            fragmented = self._fragmented.popleft()
+            fragment, is_last = fragmented.next_fragment()
+            self._protocol.send_binary(encode(FragmentMessage(fragmented.number, is_last, fragment)))
             if not is_last:
-                self._large.append(large)
+                self._fragmented.append(fragmented)
             self._flush()
 
     def _flush(self):
@@ -176,11 +176,11 @@
             if data:
                 self._stream.write(data)
         # A peer that takes nothing any more would fill this node's memory with its answers.
-        if self._stream.unsent > _MAX_UNSENT:
+        if self._stream.unsent > _MAX_UNSENT_BYTES:
             self._stream.close()
 
 
-class _Large:
+class _FragmentedMessage:
     """A message on its way in pieces."""
 
     def __init__(self, number, call_id, data):
@@ -188,10 +188,10 @@
         self.call_id = call_id
         self._data = memoryview(data)
 
-    def take(self):
+    def next_fragment(self):
         """Take the next piece, and whether it is the last."""
-        piece, self._data = self._data[:_PIECE_BYTES], self._data[_PIECE_BYTES:]
-        return bytes(piece), not self._data
+        fragment, self._data = self._data[:_FRAGMENT_BYTES], self._data[_FRAGMENT_BYTES:]
+        return bytes(fragment), not self._data
 
 
 class PeerLink:
@@ -203,20 +203,20 @@
     :param ask: asks the host for a word on another way; None where there is none.
     """
 
-    def __init__(self, loop, address, silence_s=None, is_heard=None, ask=None):
+    def __init__(self, loop, address, silence_s=None, is_host_alive=None, probe_host=None):
         host, port = address
         self._loop = loop
         self._silence_s = silence_s
-        self._is_heard = is_heard
-        self._ask = ask
-        self._watched = None
+        self._is_host_alive = is_host_alive
+        self._probe_host = probe_host
+        self._watched_reads = None
         self._ids = itertools.count(1)
         self._pending = {}
         self.unknown_answers = 0
-        self.told_version = None
+        self.announced_version = None
         uri = parse_uri(f"ws://{host}:{port}/")
-        protocol = ClientProtocol(uri, max_size=_MAX_MESSAGE)
-        stream = dial(loop, address, None if silence_s is None else KERNEL_SILENCE_SECONDS)
+        protocol = ClientProtocol(uri, max_size=_MAX_MESSAGE_BYTES)
+        stream = dial(loop, address, None if silence_s is None else TCP_TIMEOUT_SECONDS)
         self._retired = False
         self._channel = Channel(stream, protocol, self._on_message, self._on_close)
         stream.on_connect = self._on_connect
@@ -237,12 +237,12 @@
         call_id = next(self._ids)
         self._pending[call_id] = on_done
         self._channel.send(message._replace(call_id=call_id))
-        if self._silence_s is not None and self._watched is None:
-            self._watch_silence()
+        if self._silence_s is not None and self._watched_reads is None:
+            self._watch_activity()
 
         def cancel():
             if self._pending.pop(call_id, None) is not None and not self._channel.closed:
-                if not self._channel.drop(call_id):
+                if not self._channel.abort(call_id):
                     self._channel.send(CancelMessage(call_id))
                 self._close_if_retired()
 
@@ -255,38 +255,38 @@
         """
         self._channel.close()
 
-    def _watch_silence(self):
+    def _watch_activity(self):
         # A connection can go silent for good while new ones work. Without this each call on it
         # would wait for its own deadline, and new calls would follow them: when nothing comes, not
         # even the answer to a ping, new calls get a new connection. What is under way stays while
         # the host is heard otherwise, for lost packets hold up a connection as long; when the host
         # is not heard either, its calls are given up in time to go elsewhere.
-        self._watched = self._channel.heard
-        self._loop.call_later(self._silence_s / 2, self._ask_for_life)
+        self._watched_reads = self._channel.reads
+        self._loop.call_later(self._silence_s / 2, self._check_activity)
 
-    def _ask_for_life(self):
+    def _check_activity(self):
         if self._channel.closed or not self._pending:
-            self._watched = None
-        elif self._channel.heard != self._watched:
-            self._watch_silence()
+            self._watched_reads = None
+        elif self._channel.reads != self._watched_reads:
+            self._watch_activity()
         else:
             self._channel.ping()
-            if self._ask is not None:
-                self._ask()
-            self._loop.call_later(self._silence_s / 2, self._judge_silence)
+            if self._probe_host is not None:
+                self._probe_host()
+            self._loop.call_later(self._silence_s / 2, self._handle_inactivity)
 
-    def _judge_silence(self):
+    def _handle_inactivity(self):
         if self._channel.closed:
-            self._watched = None
-        elif self._channel.heard != self._watched:
-            self._watched = None
+            self._watched_reads = None
+        elif self._channel.reads != self._watched_reads:
+            self._watched_reads = None
             if self._pending:
-                self._watch_silence()
-        elif self._channel.opened and self._is_heard is not None and self._is_heard():
+                self._watch_activity()
+        elif self._channel.handshake_done and self._is_host_alive is not None and self._is_host_alive():
             self._retired = True
-            self._watch_silence()
+            self._watch_activity()
         else:
-            self._watched = None
+            self._watched_reads = None
             self._channel.close()
 
     def _on_connect(self):
@@ -314,7 +314,7 @@
 
     def _on_close(self):
         pending, self._pending = self._pending, {}
-        if self._channel.opened:
+        if self._channel.handshake_done:
             refusal = Refusal(Code.PEER_LOST, "the peer link was lost", Ran.OUTCOME_UNKNOWN)
         else:
             refusal = Refusal(Code.PEER_LOST, "the peer cannot be reached", Ran.NOT_RUN)
@@ -334,7 +334,7 @@
         self._when_closed = on_close
         self._cancels = {}
         self.unknown_messages = 0
-        protocol = ServerProtocol(max_size=_MAX_MESSAGE)
+        protocol = ServerProtocol(max_size=_MAX_MESSAGE_BYTES)
         self._channel = Channel(stream, protocol, self._on_message, self._on_close)
         stream.open()
 
@@ -343,7 +343,7 @@
         """Whether something that the peer asked for is not yet answered."""
         return bool(self._cancels)
 
-    def say_goodbye(self):
+    def send_go_away(self):
         """Ask the peer to send no more calls and to close when it has all its answers.
 
         :return: None.
@@ -389,7 +389,7 @@
         _run_all(cancels.values())
 
 
-def make_call_handler(gatekeeper, on_fault=None):
+def make_call_handler(admission_controller, on_fault=None):
     """Make the handler that runs calls at the target beside the node.
 
     :param gatekeeper: the node's :class:`~camphorshelf_node.gatekeeper.Gatekeeper`.
@@ -402,13 +402,13 @@
             reply(_make_answer(result, load))
 
         try:
-            return gatekeeper.run(message, done)
+            return admission_controller.run(message, done)
         except Exception as error:
             # The peer's caller would wait until its deadline for an answer that never comes.
             if on_fault is not None:
                 on_fault(error)
             reason = f"a fault inside the target's node: {type(error).__name__}"
-            done(Refusal(Code.INTERNAL, reason, Ran.OUTCOME_UNKNOWN), gatekeeper.load)
+            done(Refusal(Code.INTERNAL, reason, Ran.OUTCOME_UNKNOWN), admission_controller.load)
             return None
 
     return handle
@@ -419,7 +419,7 @@
         code, reason, ran, retry_after_ms = result
         return RefusedMessage(0, int(code), reason, ran.value, retry_after_ms, load)
     status, headers, body = result
-    if len(body) > _MAX_BODY:
+    if len(body) > _MAX_BODY_BYTES:
         # Sent all the same, it would break the link and every other call on it.
         reason = "the answer is larger than a link carries"
         return RefusedMessage(0, int(Code.ANSWER_TOO_LARGE), reason, Ran.RAN.value, None, load)
--- a/packages/node/src/camphorshelf_node/listeners.py
+++ b/packages/node/src/camphorshelf_node/listeners.py
@@ -4,13 +4,13 @@
 from camphorshelf_core.settings import split_address
 
 from .exchange import render_refusal
-from .headers import render_answer
+from .headers import render_response
 from .http import HttpConnection
 from .links import PeerServer
 from .streams import listen
 
-_POLL_SECONDS = 0.02
-_LINK_SECONDS = 3.0
+_DRAIN_POLL_SECONDS = 0.02
+_LINK_CLOSE_TIMEOUT_SECONDS = 3.0
 _RETRY_AFTER_MS = 1_000
 
 
@@ -61,7 +61,7 @@
             reason = "the node has as many callers' connections as it may"
             refusal = Refusal(Code.CONNECTION_LIMIT, reason, retry_after_ms=_RETRY_AFTER_MS)
             status, headers, body = render_refusal(refusal)
-            stream.write(render_answer(status, headers, body, "GET", close=True))
+            stream.write(render_response(status, headers, body, "GET", close=True))
             stream.close_when_sent()
             return
         connection = HttpConnection(
@@ -113,28 +113,28 @@
         """
         self._close_listener()
         for server in list(self._servers):
-            server.say_goodbye()
+            server.send_go_away()
 
     def _on_accept(self, stream, _peer):
-        server = PeerServer(stream, self._handlers, self._forget)
+        server = PeerServer(stream, self._handlers, self._remove)
         self._servers[server] = False
-        self._keep_limit()
+        self._enforce_link_limit()
 
-    def _keep_limit(self):
+    def _enforce_link_limit(self):
         # Every node may be an entry node for this target. Without a limit their links alone use
         # up the host's connections and memory. The longest kept one that is idle is asked to
         # close; its peer opens another when it has a call, so no call is lost.
-        excess = len(self._servers) - sum(self._servers.values())
-        excess -= self._settings.entry.link_limit
+        excess_links = len(self._servers) - sum(self._servers.values())
+        excess_links -= self._settings.entry.link_limit
         for server, is_leaving in list(self._servers.items()):
-            if excess <= 0:
+            if excess_links <= 0:
                 return
             if not is_leaving and not server.busy:
                 self._servers[server] = True
-                server.say_goodbye()
-                excess -= 1
+                server.send_go_away()
+                excess_links -= 1
 
-    def _forget(self, server):
+    def _remove(self, server):
         self._servers.pop(server, None)
 
 
@@ -153,12 +153,12 @@
     """
     callers.finish()
     peers.finish()
-    latest = loop.now() + _LINK_SECONDS
+    links_deadline = loop.now() + _LINK_CLOSE_TIMEOUT_SECONDS
 
     def check():
         busy = callers.busy or peers.busy
-        if busy or (peers.links and loop.now() < latest):
-            loop.call_later(_POLL_SECONDS, check)
+        if busy or (peers.links and loop.now() < links_deadline):
+            loop.call_later(_DRAIN_POLL_SECONDS, check)
         else:
             on_drained()
 
--- a/packages/node/src/camphorshelf_node/work.py
+++ b/packages/node/src/camphorshelf_node/localcall.py
@@ -8,32 +8,32 @@
 from camphorshelf_core.service_times import kind_of
 
 from .headers import with_deadline
-from .httpclient import Failed
+from .httpclient import RequestFailure
 from .quarantine import SUSPECT_HEADER
 
-_NOT_RUN = b"NOT_RUN"
-_SERVER_ERRORS = 500
-_UNAVAILABLE = 503
-_LANE_SECONDS = 1.0
+_NOT_RUN_VALUE = b"NOT_RUN"
+_MIN_SERVER_ERROR_STATUS = 500
+_UNAVAILABLE_STATUS = 503
+_SUSPECT_WAIT_SECONDS = 1.0
 
 
-class Work:
+class LocalCall:
     """Moves a call through the gate and gives its one answer."""
 
-    def __init__(self, gatekeeper, loop, settings, call, on_done):
-        self._gatekeeper = gatekeeper
+    def __init__(self, admission_controller, loop, settings, call, on_done):
+        self._admission_controller = admission_controller
         self._loop = loop
         self._settings = settings
         self._on_done = on_done
         self._abandon = None
-        self._lane_timer = None
+        self._suspect_timer = None
         self.call = call
-        self.suspect = None
-        self.left_lane = False
+        self.suspect_fingerprint = None
+        self.released_suspect = False
         self.started_at = None
         self.done = False
         caller = call.caller
-        self.ticket = PendingCall(
+        self.pending_call = PendingCall(
             loop.now() + call.deadline_ms / 1000,
             self._start,
             self.refuse,
@@ -44,15 +44,15 @@
         )
 
     @property
-    def name(self):
+    def attempt_name(self):
         """The attempt's name for the log."""
         incarnation, number = self.call.attempt
         return f"{incarnation}-{number}"
 
     @property
-    def waits(self):
+    def is_queued(self):
         """Whether the call is in line for a slot."""
-        return not self.done and self.ticket.started_at is None
+        return not self.done and self.pending_call.started_at is None
 
     def refuse(self, refusal):
         """Give the final answer of a call that does not run.
@@ -61,8 +61,8 @@
         :return: None.
         """
         if not self.done:
-            self.end_lane_wait()
-            self._gatekeeper.note_refused(self, refusal)
+            self.stop_waiting_for_suspect()
+            self._admission_controller.record_refused(self, refusal)
             self._answer(refusal)
 
     def refuse_suspect(self):
@@ -71,25 +71,25 @@
         :return: None.
         """
         reason = "another request under suspicion of crashing targets runs here"
-        retry_after_ms = int(_LANE_SECONDS * 1000)
+        retry_after_ms = int(_SUSPECT_WAIT_SECONDS * 1000)
         self.refuse(Refusal(Code.SUSPECT_WAITING, reason, retry_after_ms=retry_after_ms))
 
-    def wait_in_lane(self):
+    def wait_for_suspect(self):
         """Wait for the suspect that runs, but not for long.
 
         :return: None.
         """
-        wait = min(_LANE_SECONDS, max(0.0, self.ticket.deadline - self._loop.now()))
-        self._lane_timer = self._loop.call_later(wait, self.refuse_suspect)
+        wait = min(_SUSPECT_WAIT_SECONDS, max(0.0, self.pending_call.deadline - self._loop.now()))
+        self._suspect_timer = self._loop.call_later(wait, self.refuse_suspect)
 
-    def end_lane_wait(self):
+    def stop_waiting_for_suspect(self):
         """Stop to wait for the suspect that runs.
 
         :return: None.
         """
-        if self._lane_timer is not None:
-            self._lane_timer.cancel()
-            self._lane_timer = None
+        if self._suspect_timer is not None:
+            self._suspect_timer.cancel()
+            self._suspect_timer = None
 
     def cancel(self):
         """Drop the call: nobody waits for its answer any more.
@@ -99,12 +99,12 @@
         if self.done:
             return
         self.done = True
-        self.end_lane_wait()
+        self.stop_waiting_for_suspect()
         abandon, self._abandon = self._abandon, None
         if abandon is not None:
             if abandon():
-                self._gatekeeper.crashes.note_abandoned(self.call)
-        self._gatekeeper.cancel(self)
+                self._admission_controller.crashes.note_abandoned(self.call)
+        self._admission_controller.cancel(self)
 
     def fail(self, blamed, reason):
         """Give the answer of a call whose connection was lost in the middle.
@@ -120,37 +120,37 @@
     def _start(self):
         self.started_at = time.time()
         call = self.call
-        left_ms = (self.ticket.deadline - self._loop.now()) * 1000
+        remaining_ms = (self.pending_call.deadline - self._loop.now()) * 1000
         headers = [pair for pair in call.headers if pair[0] != SUSPECT_HEADER]
-        headers = with_deadline(headers, left_ms)
+        headers = with_deadline(headers, remaining_ms)
         request = Request(call.method, call.path, headers, call.body)
-        self._abandon = self._gatekeeper.send(request, self._on_result, self._in_time)
+        self._abandon = self._admission_controller.send(request, self._on_result, self._may_send)
 
-    def _in_time(self):
+    def _may_send(self):
         # A connection may have taken its time to open; this is the last moment to hold back.
-        deadline = self.ticket.deadline
-        return deadline > self._loop.now() and self._gatekeeper.may_start(self.call, deadline)
+        deadline = self.pending_call.deadline
+        return deadline > self._loop.now() and self._admission_controller.may_start(self.call, deadline)
 
     def _on_result(self, result):
         self._abandon = None
-        if isinstance(result, Failed):
+        if isinstance(result, RequestFailure):
             self._on_failed(result)
             return
-        self._gatekeeper.finish(self, served=result.status < _SERVER_ERRORS)
-        self._gatekeeper.note_clean(self)
-        if result.status == _UNAVAILABLE:
-            self._gatekeeper.note_shed()
+        self._admission_controller.finish(self, served=result.status < _MIN_SERVER_ERROR_STATUS)
+        self._admission_controller.record_completed(self)
+        if result.status == _UNAVAILABLE_STATUS:
+            self._admission_controller.record_shed()
             if self._says_not_run(result):
                 self._answer(Refusal(Code.TARGET_SHED, "the target turned the call away"))
                 return
         self._answer(result)
 
     def _on_failed(self, failed):
-        self._gatekeeper.finish(self, served=False)
+        self._admission_controller.finish(self, served=False)
         reason = f"the target failed: {failed.reason}"
         if failed.sent:
-            self._gatekeeper.crashes.note_lost(self, reason)
-        elif self.ticket.deadline > self._loop.now():
+            self._admission_controller.crashes.note_lost(self, reason)
+        elif self.pending_call.deadline > self._loop.now():
             self._answer(Refusal(Code.TARGET_UNREACHABLE, reason))
         else:
             self._answer(Refusal(Code.DEADLINE_UNREACHABLE, reason))
@@ -159,8 +159,8 @@
         # A bare 503 proves nothing: the target may have failed after half the work. Only one
         # that says "not run" by the agreed header may be sent elsewhere.
         name = self._settings.not_run_header
-        return name is not None and header(response.headers, name.encode()) == _NOT_RUN
+        return name is not None and header(response.headers, name.encode()) == _NOT_RUN_VALUE
 
     def _answer(self, result):
         self.done = True
-        self._on_done(result, self._gatekeeper.load)
+        self._on_done(result, self._admission_controller.load)
--- a/packages/node/src/camphorshelf_node/loop.py
+++ b/packages/node/src/camphorshelf_node/loop.py
@@ -11,7 +11,7 @@
 
 READABLE = select.EPOLLIN
 WRITABLE = select.EPOLLOUT
-_MIN_COMPACTED = 64
+_MIN_CANCELLED_TO_COMPACT = 64
 
 
 class Timer:
@@ -31,7 +31,7 @@
         """
         if self.callback is not None:
             self.callback = None
-            self._loop._note_cancelled()
+            self._loop._record_cancelled()
 
 
 class Loop(EPoll):
@@ -48,9 +48,9 @@
         super().__init__(channel=self.channel)
         self._callbacks = {}
         self._timers = []
-        self._cancelled = 0
-        self._order = itertools.count()
-        self._interrupts = deque()
+        self._cancelled_count = 0
+        self._sequence = itertools.count()
+        self._signal_callbacks = deque()
         self.on_error = None
 
     @staticmethod
@@ -95,7 +95,7 @@
         :return: the :class:`Timer`.
         """
         timer = Timer(self.now() + seconds, callback, self)
-        heapq.heappush(self._timers, (timer.when, next(self._order), timer))
+        heapq.heappush(self._timers, (timer.when, next(self._sequence), timer))
         return timer
 
     def call_every(self, seconds, callback):
@@ -112,7 +112,7 @@
 
         self.call_later(seconds, run)
 
-    def interrupt(self, callback):
+    def call_from_signal(self, callback):
         """Call back in the loop's next turn; safe to use in a signal's handler.
 
         The handler may run in the middle of a change to the timers, so it must not touch them.
@@ -120,7 +120,7 @@
         :param callback: takes no argument.
         :return: None.
         """
-        self._interrupts.append(callback)
+        self._signal_callbacks.append(callback)
         self.resume()
 
     def _generate_events(self, event):
@@ -138,8 +138,8 @@
                 self._process(fileno, mask)
             else:
                 self._run(callback, mask)
-        while self._interrupts:
-            self._run(self._interrupts.popleft())
+        while self._signal_callbacks:
+            self._run(self._signal_callbacks.popleft())
         self._run_timers()
 
     def _run(self, callback, *arguments):
@@ -165,7 +165,7 @@
         # for nothing.
         while self._timers and self._timers[0][2].callback is None:
             heapq.heappop(self._timers)
-            self._cancelled -= 1
+            self._cancelled_count -= 1
 
     def _run_timers(self):
         now = self.now()
@@ -173,16 +173,16 @@
             _, _, timer = heapq.heappop(self._timers)
             callback, timer.callback = timer.callback, None
             if callback is None:
-                self._cancelled -= 1
+                self._cancelled_count -= 1
             else:
                 self._run(callback)
 
-    def _note_cancelled(self):
+    def _record_cancelled(self):
         # Every call has a timer for its deadline, mostly cancelled after a few milliseconds.
         # Left in the heap until due, they would hold the calls of the last minute in memory:
         # at 1,000 calls/s and a deadline of 10 s, 10,000 dead entries.
-        self._cancelled += 1
-        if self._cancelled > _MIN_COMPACTED and self._cancelled * 2 > len(self._timers):
+        self._cancelled_count += 1
+        if self._cancelled_count > _MIN_CANCELLED_TO_COMPACT and self._cancelled_count * 2 > len(self._timers):
             self._timers = [entry for entry in self._timers if entry[2].callback is not None]
             heapq.heapify(self._timers)
-            self._cancelled = 0
+            self._cancelled_count = 0
--- a/packages/node/src/camphorshelf_node/node.py
+++ b/packages/node/src/camphorshelf_node/node.py
@@ -30,7 +30,7 @@
     make_deadline_filter,
     make_identity_filter,
 )
-from .gatekeeper import Gatekeeper
+from .admissioncontroller import AdmissionController
 from .gossip import Gossip
 from .join import Join
 from .leavers import Leavers
@@ -40,7 +40,7 @@
 from .log import Log
 from .loop import Loop
 from .metrics import Metrics
-from .once import OnceGuard
+from .atmostonce import AtMostOnceGuard
 from .operators import Operators
 from .platform import Platform
 from .quarantine import QuarantineController
@@ -94,12 +94,12 @@
         self._roster = Roster(self._gossip)
         self._join = Join(self._loop, settings, self._gossip, self._platform, self._log)
         self._quarantine = QuarantineController(self._loop, settings, self._gossip, self._log)
-        self._gatekeeper = Gatekeeper(
+        self._gatekeeper = AdmissionController(
             self._loop, settings, self._log, random.Random(self.incarnation), self._quarantine
         )
         self._gatekeeper.on_leaving = self._leavers.publish_own
         self._invariants = Invariants()
-        self._once = OnceGuard(self._loop, self._gatekeeper, AttemptRegistry(), self._invariants)
+        self._once = AtMostOnceGuard(self._loop, self._gatekeeper, AttemptRegistry(), self._invariants)
         self._tickets = TicketStore(
             settings.claims,
             settings.name,
@@ -268,7 +268,7 @@
             self._log.info(f"target announced: {target.service} at {target.address}")
 
     def _apply_configuration(self):
-        target = self._gatekeeper.target
+        target = self._gatekeeper.announcement
         if target is not None:
             leaving = self._configuration.is_leaving(
                 target.service, self.settings.name, self.settings.failure_domain
@@ -292,7 +292,7 @@
         if self._stopping:
             os._exit(1)
         self._stopping = True
-        self._loop.interrupt(self._leave)
+        self._loop.call_from_signal(self._leave)
 
     def _leave(self):
         self._log.info("stopping: no new callers, waiting for what is in flight")
--- a/packages/node/src/camphorshelf_node/platform.py
+++ b/packages/node/src/camphorshelf_node/platform.py
@@ -12,7 +12,7 @@
 from camphorshelf_core.settings import split_address
 from camphorshelf_core.table import ReadFailure, WriteOutcome
 
-from .httpclient import Failed, HttpClient
+from .httpclient import RequestFailure, HttpClient
 from .rows import (
     TABLE,
     Put,
@@ -172,7 +172,7 @@
         request = Request("PUT", path.encode(), ((b"host", b"objects"),), data)
 
         def done(result):
-            if isinstance(result, Failed):
+            if isinstance(result, RequestFailure):
                 on_done(WriteOutcome.UNKNOWN if result.sent else WriteOutcome.NOT_APPLIED)
             elif result.status >= 500:
                 on_done(WriteOutcome.UNKNOWN)
@@ -193,7 +193,7 @@
         request = Request("GET", path.encode(), ((b"host", b"objects"),), b"")
 
         def done(result):
-            if isinstance(result, Failed):
+            if isinstance(result, RequestFailure):
                 on_done(Failure(ReadFailure(result.reason)))
             elif result.status in (200, 404):
                 on_done(Success(result.body if result.status == 200 else None))
@@ -223,7 +223,7 @@
     def _send(self, client, request, on_done, background=False):
         reason = self._reason_not_to_send(background)
         if reason is not None:
-            self._loop.call_later(0, lambda: on_done(Failed(reason, sent=False)))
+            self._loop.call_later(0, lambda: on_done(RequestFailure(reason, sent=False)))
             return
 
         def done(result):
@@ -233,7 +233,7 @@
 
         def give_up():
             sent = abandon()
-            done(Failed("no answer in time", sent))
+            done(RequestFailure("no answer in time", sent))
 
         timer = self._loop.call_later(self._timeout, give_up)
         abandon = client.send(request, done)
@@ -250,7 +250,7 @@
 
     def _note(self, result):
         now = self._loop.now()
-        if isinstance(result, Failed) or result.status >= 500:
+        if isinstance(result, RequestFailure) or result.status >= 500:
             self._circuit.record_failure(now)
             return
         self._circuit.record_success()
--- a/packages/node/src/camphorshelf_node/responsereader.py
+++ b/packages/node/src/camphorshelf_node/responsereader.py
@@ -38,16 +38,16 @@
         request; a response that does not is skipped.
     """
 
-    def __init__(self, method, max_body_bytes, is_own=lambda status, headers: True):
+    def __init__(self, method, max_body_bytes, is_expected=lambda status, headers: True):
         self._method = method
         self._max_body_bytes = max_body_bytes
-        self._is_own = is_own
+        self._is_expected = is_expected
         self._parser = httptools.HttpResponseParser(self)
         self._response = None
         self._error = None
         self._keep_alive = False
-        self._has_surplus = False
-        self._skipped = 0
+        self._has_trailing_data = False
+        self._skipped_count = 0
         self._head_bytes = 0
         self._start()
 
@@ -62,29 +62,29 @@
         return self._framing
 
     @property
-    def first_name(self):
+    def first_header_name(self):
         """The name of the first header of the response, empty when it has none."""
         return self._headers[0][0] if self._headers else b""
 
     @property
     def is_in_head(self):
         """Whether no head of any response has arrived whole."""
-        return self._in_head and not self._skipped
+        return self._in_head and not self._skipped_count
 
     @property
-    def has_surplus(self):
+    def has_trailing_data(self):
         """Whether something followed the response."""
-        return self._has_surplus
+        return self._has_trailing_data
 
     @property
     def skipped(self):
         """How many responses to other requests came before it."""
-        return self._skipped
+        return self._skipped_count
 
     @property
-    def leaves_reusable(self):
+    def is_connection_reusable(self):
         """Whether the connection may carry another request."""
-        return self._keep_alive and not self._has_surplus and not self._skipped
+        return self._keep_alive and not self._has_trailing_data and not self._skipped_count
 
     def feed(self, data):
         """Read bytes of the connection.
@@ -94,16 +94,16 @@
         :raises ResponseError: when they cannot be the response and none was whole before them.
         """
         if self._response is not None:
-            self._has_surplus = True
+            self._has_trailing_data = True
             return
         if self._in_head:
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._note_invalid(error)
+            self._record_invalid(error)
         if self._response is None:
-            self._check()
+            self._raise_error()
 
     def end(self):
         """Take in that the server has ended the connection in order.
@@ -116,7 +116,7 @@
     def on_message_begin(self):
         """Called by the parser at the start of a response."""
         if self._response is not None:
-            self._has_surplus = True
+            self._has_trailing_data = True
         else:
             self._start()
 
@@ -144,7 +144,7 @@
     def on_body(self, body):
         """Called by the parser with a part of a body."""
         if self._response is not None:
-            self._has_surplus = True
+            self._has_trailing_data = True
             return
         self._body_bytes += len(body)
         if self._body_bytes > self._max_body_bytes:
@@ -171,28 +171,28 @@
         if self._error is not None:
             return
         status = self._parser.get_status_code()
-        if not self._is_own(status, self._headers):
-            self._skipped += 1
+        if not self._is_expected(status, self._headers):
+            self._skipped_count += 1
             self._start()
             return
-        if _holds_status_line(self._reason, self._headers):
+        if _contains_status_line(self._reason, self._headers):
             # Cut short in its head, it took the rest of the head from the response behind it.
             self._error = "the head runs on into another one"
             return
-        if not _is_decoded(self._headers):
+        if not _is_coding_supported(self._headers):
             self._error = "another transfer coding than chunked"
             return
         self._keep_alive = self._framing is not Framing.CLOSE and self._parser.should_keep_alive()
         headers = strip_hop_by_hop(self._headers)
         self._response = Response(status, headers, b"".join(self._body))
 
-    def _note_invalid(self, error):
+    def _record_invalid(self, error):
         if self._response is None:
             self._error = f"not a valid response: {error}"
         else:
-            self._has_surplus = True
+            self._has_trailing_data = True
 
-    def _check(self):
+    def _raise_error(self):
         if self._error is not None:
             raise ResponseError(self._error)
         if self._in_head and self._head_bytes > _MAX_HEAD_BYTES:
@@ -217,11 +217,11 @@
     return Framing.CLOSE
 
 
-def _is_decoded(headers):
+def _is_coding_supported(headers):
     # The parser undoes chunked and no other coding.
     codings = [value.strip().lower() for name, value in headers if name == b"transfer-encoding"]
     return codings in ([], [b"chunked"])
 
 
-def _holds_status_line(reason, headers):
+def _contains_status_line(reason, headers):
     return any(_STATUS_LINE.search(text) for text in (reason, *[value for _, value in headers]))
--- a/packages/node/src/camphorshelf_node/rows.py
+++ b/packages/node/src/camphorshelf_node/rows.py
@@ -8,7 +8,7 @@
 
 from camphorshelf_core.table import ReadFailure, Row, WriteOutcome, WriteResult
 
-from .httpclient import Failed
+from .httpclient import RequestFailure
 
 TABLE = "camphorshelf"
 _CONDITION_FAILED = "ConditionalCheckFailed"
@@ -96,7 +96,7 @@
     :param result: the response, or :class:`Failed`.
     :return: ``Success`` of the document, or ``Failure`` of an :class:`Outage`.
     """
-    if isinstance(result, Failed):
+    if isinstance(result, RequestFailure):
         return Failure(ReadFailure(result.reason))
     if result.status != 200:
         return Failure(ReadFailure(f"the table service answered {result.status}"))
@@ -123,7 +123,7 @@
     :param count: how many rows it was to write.
     :return: a list of :class:`Written`, one for each row.
     """
-    if isinstance(result, Failed):
+    if isinstance(result, RequestFailure):
         return _all(WriteOutcome.UNKNOWN if result.sent else WriteOutcome.NOT_APPLIED, count)
     if result.status == 200:
         return _all(WriteOutcome.APPLIED, count)
--- a/packages/node/src/camphorshelf_node/steps.py
+++ b/packages/node/src/camphorshelf_node/steps.py
@@ -6,7 +6,7 @@
 from camphorshelf_core.errors import Code, ProtocolError, Refusal
 from camphorshelf_core.table import WriteOutcome
 
-_SWAPPED = {WriteOutcome.APPLIED: True, WriteOutcome.LOST: False}
+_COMPARE_AND_SET_RESULTS = {WriteOutcome.APPLIED: True, WriteOutcome.LOST: False}
 
 
 def run_steps(steps, platform, on_done):
@@ -43,9 +43,9 @@
     platform.get(operation.partition, operation.key, done)
 
 
-def _swap_row(platform, operation, on_done):
+def _compare_and_set_row(platform, operation, on_done):
     def done(written):
-        on_done(_SWAPPED.get(written.outcome, UNKNOWN))
+        on_done(_COMPARE_AND_SET_RESULTS.get(written.outcome, UNKNOWN))
 
     platform.put_if(operation.partition, operation.key, operation.data, operation.expected, done)
 
@@ -66,7 +66,7 @@
 
 _OPERATIONS = {
     ReadRow: _read_row,
-    CompareAndSetRow: _swap_row,
+    CompareAndSetRow: _compare_and_set_row,
     ReadObject: _read_object,
     WriteObject: _write_object,
 }
--- a/packages/node/src/camphorshelf_node/streams.py
+++ b/packages/node/src/camphorshelf_node/streams.py
@@ -5,12 +5,12 @@
 
 from .loop import READABLE, WRITABLE
 
-_READ_SIZE = 65_536
-_BACKLOG = 512
+_READ_BYTES = 65_536
+_LISTEN_BACKLOG = 512
 _LINGER_SECONDS = 1.0
 _ACCEPT_PAUSE_SECONDS = 0.2
-_ACCEPTS_PER_TURN = 32
-_NO_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+_MAX_ACCEPTS_PER_TURN = 32
+_RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 
 class Stream:
@@ -198,7 +198,7 @@
 
     def _read(self):
         try:
-            data = self._sock.recv(_READ_SIZE)
+            data = self._sock.recv(_READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
@@ -211,7 +211,7 @@
             self.on_data(data)
 
 
-def dial(loop, address, silence_s=None):
+def dial(loop, address, tcp_timeout_s=None):
     """Open a connection to an address.
 
     :param loop: the node's loop.
@@ -221,12 +221,12 @@
     :return: the :class:`Stream`, not yet connected.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-    stream = Stream(loop, _prepare(socket.socket(family, socket.SOCK_STREAM), silence_s))
+    stream = Stream(loop, _prepare(socket.socket(family, socket.SOCK_STREAM), tcp_timeout_s))
     stream.connect(address)
     return stream
 
 
-def listen(loop, address, on_accept, silence_s=None):
+def listen(loop, address, on_accept, tcp_timeout_s=None):
     """Take connections on an address.
 
     :param loop: the node's loop.
@@ -236,21 +236,21 @@
     :return: a function that closes the listening socket.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-    listener = socket.create_server(address, family=family, backlog=_BACKLOG)
+    listener = socket.create_server(address, family=family, backlog=_LISTEN_BACKLOG)
     listener.setblocking(False)
 
     def accept(_mask):
         # Several in one turn, so that a burst of new connections does not wait one turn each.
-        for _ in range(_ACCEPTS_PER_TURN):
+        for _ in range(_MAX_ACCEPTS_PER_TURN):
             try:
                 sock, peer = listener.accept()
             except OSError as error:
-                if error.errno in _NO_RESOURCES:
-                    rest()
+                if error.errno in _RESOURCE_ERRORS:
+                    pause_accepting()
                 return
-            on_accept(Stream(loop, _prepare(sock, silence_s)), peer)
+            on_accept(Stream(loop, _prepare(sock, tcp_timeout_s)), peer)
 
-    def rest():
+    def pause_accepting():
         # Without a descriptor to spare the listener stays readable, and the loop would spin on
         # it at a full core; the waiting connections are taken when some have been closed.
         loop.unwatch(listener.fileno())
@@ -269,15 +269,15 @@
     return close
 
 
-def _prepare(sock, silence_s=None):
+def _prepare(sock, tcp_timeout_s=None):
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    if silence_s is not None:
-        _bound_silence(sock, silence_s)
+    if tcp_timeout_s is not None:
+        _set_tcp_timeout(sock, tcp_timeout_s)
     return sock
 
 
-def _bound_silence(sock, seconds):
+def _set_tcp_timeout(sock, seconds):
     # A connection across a cut or to a frozen host hangs without a reset, and everything sent
     # over it waits: TCP alone would take a quarter of an hour to say so.
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/packages/node/src/camphorshelf_node/tickets.py
+++ b/packages/node/src/camphorshelf_node/tickets.py
@@ -50,7 +50,7 @@
         :param message: the :class:`MintMessage`.
         :return: the :class:`MintedMessage`.
         """
-        target = self._gatekeeper.target
+        target = self._gatekeeper.announcement
         if target is None or target.service != message.service:
             return _refuse_mint(Refusal(Code.NO_TARGET, "no such target beside this node"))
         tickets = []
@@ -202,7 +202,7 @@
         deadline_ms = max(1, int((exchange.deadline - self._loop.now()) * 1000))
         return CallMessage(
             call_id=0,
-            attempt=self._dispatcher.next_attempt(),
+            attempt=self._dispatcher.next_attempt_id(),
             service=exchange.service,
             target=ticket.node,
             deadline_ms=deadline_ms,
@@ -225,7 +225,7 @@
 
     def start(self, send):
         exchange = self._exchange
-        exchange.when_hung_up(self._give_up)
+        exchange.set_disconnect_handler(self._give_up)
         wait = max(0.0, exchange.deadline - self._loop.now())
         self._timer = self._loop.call_later(wait, exchange.guard(self._on_deadline))
         self._cancel = send(exchange.guard(self._on_result))
--- a/packages/node/src/camphorshelf_node/versionguard.py
+++ b/packages/node/src/camphorshelf_node/versionguard.py
@@ -20,7 +20,7 @@
     return check
 
 
-def guard_calls(handle, gatekeeper, configuration):
+def guard_calls(handle, admission_controller, configuration):
     """Wrap the handler of peers' calls in the same check.
 
     A woken or fresh node may not know yet that its own target is leaving; an entry node that
@@ -41,7 +41,7 @@
         if refusal is None:
             return handle(message, stamp)
         code, reason, ran, retry_after_ms = refusal
-        refused = RefusedMessage(0, int(code), reason, ran.value, retry_after_ms, gatekeeper.load)
+        refused = RefusedMessage(0, int(code), reason, ran.value, retry_after_ms, admission_controller.load)
         stamp(refused)
         return None
 
@@ -56,10 +56,10 @@
     """
     count = 0
 
-    def name_call(exchange, proceed):
+    def assign_call_id(exchange, proceed):
         nonlocal count
         count += 1
         exchange.call_id = f"{incarnation}-{count}"
         proceed(exchange)
 
-    return name_call
+    return assign_call_id
--- a/packages/relay/src/camphorshelf_relay/listeners.py
+++ b/packages/relay/src/camphorshelf_relay/listeners.py
@@ -4,7 +4,7 @@
 from camphorshelf_core.errors import Code, Ran
 from camphorshelf_core.messages import RelayMessage, RelayRefusedMessage
 from camphorshelf_node.http import HttpConnection
-from camphorshelf_node.links import KERNEL_SILENCE_SECONDS, PeerServer
+from camphorshelf_node.links import TCP_TIMEOUT_SECONDS, PeerServer
 from camphorshelf_node.streams import listen
 
 # Leaves file descriptors for connections to targets, peers and the store, and for files.
@@ -150,7 +150,7 @@
 
         :return: None.
         """
-        listen(self._loop, self._address, self._on_accept, KERNEL_SILENCE_SECONDS)
+        listen(self._loop, self._address, self._on_accept, TCP_TIMEOUT_SECONDS)
 
     def _on_accept(self, stream, _peer):
         server = PeerServer(stream, self._make_handlers(), self._servers.discard)
--- a/packages/relay/src/camphorshelf_relay/node.py
+++ b/packages/relay/src/camphorshelf_relay/node.py
@@ -268,7 +268,7 @@
         return self._platform.answer_target(request, self._target, self._log)
 
     def _on_sighup(self, _number, _frame):
-        self._loop.interrupt(self._reload)
+        self._loop.call_from_signal(self._reload)
 
     def _reload(self, is_requested=True):
         settings = self._platform.read_settings()
@@ -295,7 +295,7 @@
         # raised inside an event handler, after which its loop spins without handling events.
         if not self._stopping:
             self._stopping = True
-            self._loop.interrupt(self._shut_down)
+            self._loop.call_from_signal(self._shut_down)
 
     def _shut_down(self):
         self._log.notable(
--- a/packages/relay/src/camphorshelf_relay/relay.py
+++ b/packages/relay/src/camphorshelf_relay/relay.py
@@ -77,7 +77,7 @@
             self._refuse(Code.DEADLINE_UNREACHABLE, "the request's deadline has passed")
             return
         guard = self._exchange.guard
-        self._exchange.when_hung_up(self._on_hang_up)
+        self._exchange.set_disconnect_handler(self._on_hang_up)
         self._expiry_timer = self._loop.call_later(self._expires_at - now, guard(self._on_expiry))
         self._router.record_request(self._service)
         self._offer_next()
--- a/packages/relay/src/camphorshelf_relay/targetconnection.py
+++ b/packages/relay/src/camphorshelf_relay/targetconnection.py
@@ -183,7 +183,7 @@
         on_done, self._on_done = self._on_done, None
         # A target may answer before it has read the whole request body. It would read another
         # request on the same connection as the rest of that body.
-        is_reusable = reader.leaves_reusable and not self._stream.unsent
+        is_reusable = reader.is_connection_reusable and not self._stream.unsent
         # The connection is released in the next iteration of the loop, to detect bytes that the
         # target sends directly after its response. They could be taken for the response to the
         # next request.
@@ -213,17 +213,17 @@
             # A target always writes the same header first. The last header name of the incomplete
             # head may be truncated.
             name, _ = head.headers[0]
-            is_alike = reader.first_name.startswith(name)
-            return is_alike and (len(head.headers) == 1 or name == reader.first_name)
+            is_alike = reader.first_header_name.startswith(name)
+            return is_alike and (len(head.headers) == 1 or name == reader.first_header_name)
         request_id = self._header_codec.parse_target(head.status, head.headers).request_id
-        if reader.framing is Framing.CLOSE or reader.has_surplus:
+        if reader.framing is Framing.CLOSE or reader.has_trailing_data:
             return bool(request_id)
         return bool(request_id) and (request_id == self._request_id or self.has_carried(request_id))
 
     def _report_strays(self):
         if self._reader.skipped:
             self._pool.on_stray(self._request_id, "ahead")
-        if self._reader.has_surplus:
+        if self._reader.has_trailing_data:
             self._pool.on_stray(self._request_id, "behind")
 
     def _release(self, is_reusable):
--- a/tests/features/steps/links_steps.py
+++ b/tests/features/steps/links_steps.py
@@ -189,7 +189,7 @@
 
 @when("the serving side says goodbye")
 def say_goodbye(context):
-    context.server.say_goodbye()
+    context.server.send_go_away()
     context.loop.advance(1)
 
 
--- a/tests/features/steps/loop_steps.py
+++ b/tests/features/steps/loop_steps.py
@@ -157,7 +157,7 @@
 
     def on_signal(_number, _frame):
         timers = list(context.loop._timers)
-        context.loop.interrupt(lambda: context.ran.append(True))
+        context.loop.call_from_signal(lambda: context.ran.append(True))
         assert context.loop._timers == timers
 
     old = signal.signal(signal.SIGUSR1, on_signal)
--- a/tests/features/steps/platform_steps.py
+++ b/tests/features/steps/platform_steps.py
@@ -8,7 +8,7 @@
 from camphorshelf_core.calls import Request
 from camphorshelf_core.settings import PlatformSettings, split_address
 from camphorshelf_core.table import WriteOutcome
-from camphorshelf_node.httpclient import Failed, HttpClient
+from camphorshelf_node.httpclient import RequestFailure, HttpClient
 from camphorshelf_node.platform import Platform
 from camphorshelf_node.rows import Put
 from standins.caller import call
@@ -150,7 +150,7 @@
 def check_abandoned(context):
     context.platform.set_faults()
     assert [result.status for result in context.results] == [200], context.results
-    assert not any(isinstance(result, Failed) for result in context.results)
+    assert not any(isinstance(result, RequestFailure) for result in context.results)
     statuses = {
         path: call(context.platform.platform, "GET", "objects", path).status
         for path in ("/first", "/second")
--- a/tests/features/steps/target_side_steps.py
+++ b/tests/features/steps/target_side_steps.py
@@ -6,7 +6,7 @@
 
 from camphorshelf_core.calls import Request, header
 from camphorshelf_node import httpclient
-from camphorshelf_node.httpclient import Failed, HttpClient
+from camphorshelf_node.httpclient import RequestFailure, HttpClient
 from standins.fakes import FakeLoop, FakeStream
 
 _MAX_ANSWER = 1_000
@@ -132,7 +132,7 @@
 @then("the call failed and may have run")
 def check_may_have_run(context):
     (result,) = context.results
-    assert isinstance(result, Failed), result
+    assert isinstance(result, RequestFailure), result
     assert result.sent
 
 
@@ -144,14 +144,14 @@
 @then("the call failed and did not run")
 def check_did_not_run(context):
     (result,) = context.results
-    assert isinstance(result, Failed), result
+    assert isinstance(result, RequestFailure), result
     assert not result.sent
 
 
 @then('the call was answered {status:d} "{body}" without header {name}')
 def check_target_answer(context, status, body, name):
     (result,) = context.results
-    assert not isinstance(result, Failed), result
+    assert not isinstance(result, RequestFailure), result
     assert (result.status, result.body) == (status, body.encode()), result
     assert header(result.headers, name.encode()) is None
 
--- a/tests/standins/edge.py
+++ b/tests/standins/edge.py
@@ -25,7 +25,7 @@
         context.exchanges.append(exchange)
         if len(context.exchanges) <= failing:
             raise RuntimeError("a fault for this test")
-        exchange.when_hung_up(lambda: context.cancelled.append(exchange))
+        exchange.set_disconnect_handler(lambda: context.cancelled.append(exchange))
 
     chain = make_chain([make_deadline_filter(limits, context.loop)], take)
     context.connection = HttpConnection(
--- a/tests/standins/simulated.py
+++ b/tests/standins/simulated.py
@@ -204,7 +204,7 @@
         """Let faults end the simulation."""
         return callback
 
-    def when_hung_up(self, callback):
+    def set_disconnect_handler(self, callback):
         """Remember what to do when the caller goes away."""
         self.hang_up = callback
 
