--- a/packages/node/src/camphorshelf_node/admissioncontroller.py
+++ b/packages/node/src/camphorshelf_node/admissioncontroller.py
@@ -1,4 +1,4 @@
-"""Guards the target beside the node: exact slots, queue, deadline and cancellation."""
+"""Admits calls to the local target: counts its slots, queues calls and cancels them."""
 
 from camphorshelf_core.admission import POLICIES, Gate
 from camphorshelf_core.drain import Source
@@ -20,7 +20,7 @@
 
 
 class AdmissionController:
-    """Runs calls at the target that announced itself to this node."""
+    """Runs calls at the local target, the one that announced itself to this node."""
 
     def __init__(self, loop, settings, log, random, quarantine):
         self._loop = loop
@@ -36,14 +36,14 @@
         self._expiry_timer = None
         self._latency_ms = 0.0
         self.announcement = None
-        # Asked just before a call's first byte goes to the target.
+        # Called just before the first byte of a call is sent to the target; False fails the call.
         self.may_start = lambda call, deadline: True
-        # Told whether the target leaves, at each change of who wants that.
+        # Called with whether the target is leaving, after each change that may affect it.
         self.on_leaving = lambda leaving: None
 
     @property
     def load(self):
-        """The load report of this moment."""
+        """The current load report of the target."""
         gate = self._gate
         leaving = gate.closed is not None
         return LoadReport(
@@ -57,7 +57,7 @@
 
     @property
     def gate(self):
-        """The exact counts, for metrics."""
+        """The :class:`~camphorshelf_core.admission.Gate` that holds the slots and the queue."""
         return self._gate
 
     @property
@@ -67,16 +67,16 @@
 
     @property
     def phase(self):
-        """Where the target stands, a :class:`~camphorshelf_core.drain.Phase`."""
+        """The target's :class:`~camphorshelf_core.drain.Phase`."""
         return self._drainer.phase
 
     def announce(self, announcement, instance=None, leaving=None):
-        """Take note of the target that announced itself.
+        """Apply an announcement of the local target.
 
-        :param target: a :class:`~camphorshelf_core.roster.Announcement`.
-        :param instance: names the target's process, where it says so.
-        :param leaving: whether the target wants to leave, where it says so.
-        :return: True when it is new or changed.
+        :param announcement: the :class:`~camphorshelf_core.roster.Announcement`.
+        :param instance: an id of the target's process; None if the target did not send one.
+        :param leaving: whether the target wants to leave; None if the target did not say.
+        :return: whether the announcement differs from the previous one.
         """
         changed = announcement != self.announcement
         if changed:
@@ -87,16 +87,16 @@
         return changed
 
     def set_leaving(self, leaving, source=Source.OPERATOR):
-        """Take or give back the wish that the target leaves; in force when this returns.
+        """Record whether a source wants the target to leave; takes effect at once.
 
         :param leaving: True to leave, False to stay.
-        :param source: who wants it.
+        :param source: the :class:`~camphorshelf_core.drain.Source` of the request.
         :return: None.
         """
         self._drainer.set_leaving(source, leaving)
 
     def update_gate(self):
-        """Close or open the gate by what is wanted now.
+        """Close the gate if the target has to leave, else open it.
 
         :return: None.
         """
@@ -110,18 +110,18 @@
         """Run a call at the target, or refuse it.
 
         :param call: a :class:`~camphorshelf_core.messages.CallMessage`.
-        :param on_done: takes the response or refusal, and the load report.
+        :param on_done: called with the response or refusal, and the load report.
         :return: a function that cancels the call.
         """
         local_call = LocalCall(self, self._loop, self._settings.gate, call, on_done)
         if self.announcement is None or self.announcement.service != call.service:
-            local_call.refuse(Refusal(Code.NO_TARGET, "no such target beside this node"))
+            local_call.refuse(Refusal(Code.NO_TARGET, "this node has no target of that service"))
             return local_call.cancel
         standing, fingerprint = self._quarantine.judge(call)
         if standing is Standing.REFUSED:
             local_call.refuse(self._quarantine.refusal(fingerprint))
         elif self._gate.closed is None and not can_start_within(self.load, call.longest_wait_ms):
-            local_call.refuse(Refusal(Code.TARGET_BUSY, "no slot is free soon enough"))
+            local_call.refuse(Refusal(Code.TARGET_BUSY, "no slot is expected to be free in time"))
         elif standing is Standing.SUSPECT:
             self._admit_suspect(local_call, fingerprint)
         else:
@@ -129,9 +129,9 @@
         return local_call.cancel
 
     def offer(self, local_call):
-        """Put a call before the gate.
+        """Offer a call to the gate, which starts, queues or refuses it.
 
-        :param work: the :class:`Work`.
+        :param local_call: the :class:`~camphorshelf_node.localcall.LocalCall`.
         :return: None.
         """
         self._gate.offer(local_call.pending_call, self._loop.now())
@@ -145,18 +145,19 @@
     def send(self, request, on_done, may_send):
         """Send a request to the target.
 
-        :param request: the request.
-        :param on_done: takes the response or what failed.
-        :param may_send: asked just before the first byte is written.
-        :return: a function that abandons the request.
+        :param request: the :class:`~camphorshelf_core.calls.Request`.
+        :param on_done: called with the response or a
+            :class:`~camphorshelf_node.httpclient.RequestFailure`.
+        :param may_send: called just before the first byte is written; False fails the request.
+        :return: a function that abandons the request and returns whether it may have run.
         """
         return self._client.send(request, on_done, may_send)
 
     def finish(self, local_call, served):
-        """Take back the slot of a call that ended.
+        """Release the slot of a call that ended.
 
-        :param work: the :class:`Work`.
-        :param served: whether its time says how fast the target is.
+        :param local_call: the :class:`~camphorshelf_node.localcall.LocalCall`.
+        :param served: whether the call's duration shows the target's speed.
         :return: None.
         """
         now = self._loop.now()
@@ -167,9 +168,9 @@
         self._release_suspect(local_call)
 
     def cancel(self, local_call):
-        """Take out a call that nobody waits for any more.
+        """Remove a call that no caller waits for any more.
 
-        :param work: the :class:`Work`.
+        :param local_call: the :class:`~camphorshelf_node.localcall.LocalCall`.
         :return: None.
         """
         if local_call.pending_call.offered_at is not None:
@@ -177,28 +178,31 @@
         self._release_suspect(local_call)
 
     def record_refused(self, local_call, refusal):
-        """Log a call that did not get in.
+        """Log a call that was not admitted.
 
-        :param work: the :class:`Work`.
-        :param refusal: the :class:`Refusal`.
+        :param local_call: the :class:`~camphorshelf_node.localcall.LocalCall`.
+        :param refusal: the :class:`~camphorshelf_core.errors.Refusal`.
         :return: None.
         """
         self._release_suspect(local_call)
         self._log.decision(
-            "refuse", call=local_call.attempt_name, caller=local_call.pending_call.caller, code=refusal.code.attempt_name
+            "refuse",
+            call=local_call.attempt_name,
+            caller=local_call.pending_call.caller,
+            code=refusal.code.name,
         )
 
     def record_shed(self):
-        """Take note that the target itself turned a call away.
+        """Record that the target itself shed a call.
 
         :return: None.
         """
         self._gate.record_shed(self._loop.now())
 
     def record_completed(self, local_call):
-        """Take note that a call ran to its answer.
+        """Record that a call completed with a response.
 
-        :param work: the :class:`Work`.
+        :param local_call: the :class:`~camphorshelf_node.localcall.LocalCall`.
         :return: None.
         """
         if local_call.suspect_fingerprint is not None:
@@ -206,12 +210,12 @@
 
     @property
     def crashes(self):
-        """Tells lost answers of a crashed target from those cut short."""
+        """Finds out for lost connections whether the target crashed or cut a response short."""
         return self._crashes
 
     def _replace_target(self, announcement):
-        # Calls that still run were counted by this gate and go on to be: a new gate beside
-        # them would let in as many again, and the target would hold twice its slots.
+        # The gate is resized and not replaced, as it counts the calls that still run. A new gate
+        # would admit as many again, and the target would run twice as many calls as it has slots.
         if self._client is not None:
             self._client.close()
         self.announcement = announcement
@@ -226,7 +230,9 @@
     def _admit_suspect(self, local_call, fingerprint):
         local_call.suspect_fingerprint = fingerprint
         let_in = self._suspect_limiter.acquire(local_call)
-        self._log.decision("suspect", call=local_call.attempt_name, fingerprint=fingerprint, let_in=let_in)
+        self._log.decision(
+            "suspect", call=local_call.attempt_name, fingerprint=fingerprint, let_in=let_in
+        )
         if let_in:
             self.offer(local_call)
         elif let_in is None:
--- a/packages/node/src/camphorshelf_node/atmostonce.py
+++ b/packages/node/src/camphorshelf_node/atmostonce.py
@@ -1,4 +1,4 @@
-"""Guards the last step to the target: an attempt starts once, and never after it was void."""
+"""Ensures that a non-idempotent attempt starts at most once, and never once it is void."""
 
 from camphorshelf_core.attempts import AttemptState
 from camphorshelf_core.calls import is_idempotent
@@ -6,13 +6,13 @@
 
 _INVARIANT_BROKEN = Refusal(
     Code.INVARIANT_BROKEN,
-    "the call was refused as not run, though its attempt had started",
+    "the call was refused as not run, but its attempt had started",
     Ran.OUTCOME_UNKNOWN,
 )
 
 
 class AtMostOnceGuard:
-    """Stands before the gatekeeper for calls that must not run twice."""
+    """Wraps the admission controller so that non-idempotent attempts run at most once."""
 
     def __init__(self, loop, admission_controller, registry, invariants):
         self._loop = loop
@@ -25,13 +25,13 @@
         """Run a call, or refuse it.
 
         :param call: a :class:`~camphorshelf_core.messages.CallMessage`.
-        :param on_done: takes the response or refusal, and the load report.
+        :param on_done: called with the response or refusal, and the load report.
         :return: a function that cancels the call.
         """
         if is_idempotent(call.method):
             return self._admission_controller.run(call, on_done)
         if self._registry.state(call.attempt) is not AttemptState.NEW:
-            reason = "the target's node has seen this attempt before"
+            reason = "the target's node has already received this attempt"
             refusal = Refusal(Code.ATTEMPT_REPEATED, reason, Ran.OUTCOME_UNKNOWN)
             on_done(refusal, self._admission_controller.load)
             return _do_nothing
@@ -48,22 +48,22 @@
         return void_and_cancel
 
     def has_started(self, call):
-        """Tell whether a call was handed to the target.
+        """Return whether a call was sent to the target.
 
-        :param call: the call.
-        :return: True or False.
+        :param call: the :class:`~camphorshelf_core.messages.CallMessage`.
+        :return: True if its attempt has started.
         """
         return self._registry.state(call.attempt) is AttemptState.STARTED
 
     def may_start(self, call, deadline):
-        """Decide, just before the first byte goes to the target, whether it may.
+        """Decide, just before the first byte is sent to the target, whether the call may start.
 
-        A slot or a connection may have taken its time; a call that nobody waits for any more
-        must not run, and a voided one never.
+        The wait for a slot or a connection may have been long. A call past its deadline must not
+        run, and neither must a voided attempt.
 
-        :param call: the call.
-        :param deadline: its deadline on the monotonic clock.
-        :return: True for the only start there will be.
+        :param call: the :class:`~camphorshelf_core.messages.CallMessage`.
+        :param deadline: the call's deadline, in seconds on the loop's clock.
+        :return: whether the call may start; for a non-idempotent attempt True at most once.
         """
         if deadline <= self._loop.now():
             return False
@@ -83,4 +83,4 @@
 
 
 def _do_nothing():
-    """Stands for the cancellation of a call that never began."""
+    """Cancels a call that was never started: there is nothing to do."""
--- a/packages/node/src/camphorshelf_node/callexecution.py
+++ b/packages/node/src/camphorshelf_node/callexecution.py
@@ -1,4 +1,4 @@
-"""One caller's call on its way: its attempts, spills, retry, hedge and final answer."""
+"""Executes one caller's call: attempts, spills, retries, a hedge and the final response."""
 
 from camphorshelf_core.calls import Response, is_idempotent
 from camphorshelf_core.errors import Code, Ran, Refusal
@@ -20,7 +20,7 @@
 
 
 class CallExecution:
-    """Drives one call to its single final outcome."""
+    """Executes one call and gives its exchange exactly one final outcome."""
 
     def __init__(self, dispatcher, exchange):
         self._dispatcher = dispatcher
@@ -40,12 +40,12 @@
 
     @property
     def guard(self):
-        """The exchange's wrapper of callbacks, which turns a fault into a refusal."""
+        """The exchange's callback wrapper, which turns an exception into a refusal."""
         return self._exchange.guard
 
     @property
     def remaining_ms(self):
-        """The time to the call's deadline."""
+        """The milliseconds left until the call's deadline."""
         return (self._exchange.deadline - self._dispatcher.loop.now()) * 1000
 
     def start(self):
@@ -63,7 +63,9 @@
             return
         if not self._finished and self._can_hedge():
             delay = hedge_delay(
-                dispatcher.latency_quantile(self._exchange.service), self.remaining_ms, self._expected_ms
+                dispatcher.latency_quantile(self._exchange.service),
+                self.remaining_ms,
+                self._expected_ms,
             )
             if delay is not None:
                 self._hedge_timer = dispatcher.loop.call_later(delay / 1000, guard(self._on_hedge))
@@ -90,9 +92,9 @@
         return True
 
     def _can_spill(self):
-        # An attempt that may hardly wait costs a message when it meets a full target. When all are
-        # full these messages would come on top of the overload, so the budget ends them. Calls
-        # already out when it is spent put it into debt, so over time the share holds.
+        # An attempt with a short wait limit costs a message when the target is full. When all
+        # targets are full, these messages would add to the overload, so a budget limits them.
+        # Attempts in flight when the budget runs out overdraw it, so the share holds over time.
         dispatcher = self._dispatcher
         return (
             not dispatcher.is_baseline
@@ -118,11 +120,12 @@
         )
 
     def make_message(self, target, longest_wait_ms):
-        """Make the message of a new attempt.
+        """Build the message of a new attempt.
 
         :param target: the target's name.
-        :param longest_wait_ms: how long the call may wait in the target's queue, None for any time.
-        :return: the :class:`CallMessage`, with an attempt id of its own.
+        :param longest_wait_ms: how long the call may wait in the target's queue, in milliseconds;
+            None for no limit.
+        :return: the :class:`~camphorshelf_core.messages.CallMessage`, with a new attempt id.
         """
         request = self._exchange.request
         deadline_ms = max(1, int(self.remaining_ms))
@@ -146,7 +149,7 @@
         )
 
     def on_attempt_started(self, attempt):
-        """Take note of an attempt on its way.
+        """Record an attempt that is about to be sent.
 
         :param attempt: the :class:`_Attempt`.
         :return: None.
@@ -155,10 +158,10 @@
         self._running.add(attempt)
 
     def on_attempt_done(self, attempt, result):
-        """Decide what follows from an attempt's result.
+        """Finish the call with an attempt's result, or send another attempt.
 
         :param attempt: the :class:`_Attempt`.
-        :param result: its response or refusal.
+        :param result: the attempt's response or refusal.
         :return: None.
         """
         self._running.discard(attempt)
@@ -185,8 +188,8 @@
         self._finish(result)
 
     def _record_blamed(self, attempt, result):
-        # The retry of a request that crashes targets leaves within a millisecond. Without the
-        # evidence in its headers the next target's node would let it in like any other.
+        # The retry of a request that crashes targets is sent within a millisecond. Without the
+        # evidence in its headers, the next target's node would admit it like any other request.
         if not isinstance(result, Refusal) or result.code is not Code.TARGET_CRASHED:
             return False
         refused = self._dispatcher.quarantine.note_blamed(self._exchange, attempt.target)
@@ -203,7 +206,8 @@
         dispatcher.load_tracker.round_trip.record(attempt.elapsed_ms)
         dispatcher.counts["spills"] += 1
         dispatcher.spill_budget.charge()
-        # The busy answers brought fresh reports, so an attempt that may wait chooses among all.
+        # The refusals carried new load reports, so an attempt with no wait limit chooses among
+        # all targets again.
         again = self._can_spill()
         if not self._send("spill", self._tried if again else (), again):
             self._send("spill", (), spill=False)
@@ -237,9 +241,9 @@
         return Response(response.status, (*headers, left), response.body)
 
     def _on_deadline(self):
-        # What was sent and not answered may have run, whatever becomes of its cancellation.
+        # An attempt that was sent but not answered may have run, even if it is cancelled now.
         ran = Ran.OUTCOME_UNKNOWN if self._running else Ran.NOT_RUN
-        reason = "the deadline passed before the answer came"
+        reason = "the deadline passed before the target responded"
         refusal = Refusal(Code.DEADLINE_EXCEEDED, reason, ran)
         for attempt in tuple(self._running):
             attempt.record_missed_deadline(refusal)
@@ -263,7 +267,7 @@
 
 
 class _Attempt:
-    """One message to one target; its id is never used again."""
+    """One message to one target, under an attempt id that is never reused."""
 
     def __init__(self, execution, candidate, is_hedge):
         self._execution = execution
@@ -282,7 +286,7 @@
 
     @property
     def elapsed_ms(self):
-        """The time since the attempt was sent."""
+        """The milliseconds since the attempt was sent."""
         return (self._dispatcher.loop.now() - self._sent_at) * 1000
 
     def start(self, longest_wait_ms):
--- a/packages/node/src/camphorshelf_node/dispatch.py
+++ b/packages/node/src/camphorshelf_node/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends a call to the chosen target's node and its answer back to the caller."""
+"""Chooses targets for calls and holds what all calls of an entry node share."""
 
 from collections import Counter
 
@@ -16,10 +16,11 @@
 
 
 class Dispatcher:
-    """Routes exchanges that passed the filters.
+    """Dispatches exchanges that passed the filters.
 
-    An exchange is anything with ``request``, ``service``, ``deadline``, ``answer``, ``refuse``
-    and ``when_hung_up``; its ``answer`` or ``refuse`` is called once, with the final outcome.
+    An exchange is an :class:`~camphorshelf_node.exchange.Exchange` or a
+    :class:`~camphorshelf_node.keyedcall.KeyedCall`. Either its ``answer`` or its ``refuse`` is
+    called, once, with the final outcome.
     """
 
     def __init__(
@@ -57,13 +58,13 @@
 
     @property
     def is_baseline(self):
-        """Whether one of the simple policies is in force, which neither spill nor hedge."""
+        """Whether a baseline policy is configured; baselines neither spill nor hedge nor probe."""
         return self.settings.entry.policy != "ours"
 
     def dispatch(self, exchange):
-        """Choose a target and send it the call.
+        """Count a call and start to execute it.
 
-        :param exchange: the caller's exchange.
+        :param exchange: the call's exchange.
         :return: None.
         """
         self.counts["calls"] += 1
@@ -72,33 +73,33 @@
         CallExecution(self, exchange).start()
 
     def choose(self, service, exclude=()):
-        """Choose a target and, where the budget allows, probe another.
+        """Choose a target and let the probe scheduler probe one of the candidates.
 
         :param service: the service's name.
         :param exclude: names of targets not to choose.
-        :return: a :class:`~camphorshelf_core.routing.Choice`, or None.
+        :return: a :class:`~camphorshelf_core.routing.Choice`, or None if no target can be chosen.
         """
         candidates = self.load_tracker.candidates(service)
         choice = self._choose(candidates, exclude)
         if choice is None:
-            # None of those drawn takes work; before the call is refused, all are asked.
+            # None of the sampled targets takes calls; consider all before refusing the call.
             choice = self._choose(self.load_tracker.survey(service), exclude)
         if not self.is_baseline:
             self.probes.probe_one(candidates)
         return choice
 
     def no_target_refusal(self):
-        """Make the refusal of a call that no target takes.
+        """Build the refusal of a call for which there is no target.
 
         :return: the :class:`Refusal`.
         """
         after = add_jitter(_NO_TARGET_RETRY_MS, self._random)
-        return Refusal(Code.NO_TARGET, "no target of the service takes work", retry_after_ms=after)
+        return Refusal(Code.NO_TARGET, "no target of the service takes calls", retry_after_ms=after)
 
     def latency_quantile(self, service):
-        """Find the latency quantile of a service.
+        """Return the latency quantile of a service.
 
-        :param service: its name.
+        :param service: the service's name.
         :return: the :class:`LatencyQuantile`.
         """
         quantile = self._quantiles.get(service)
@@ -108,17 +109,17 @@
         return quantile
 
     def next_attempt_id(self):
-        """Name a new attempt.
+        """Return a new attempt id.
 
-        :return: an :class:`AttemptId` that this node never gives again.
+        :return: an :class:`AttemptId` that this node never uses again.
         """
         self._attempt_count += 1
         return AttemptId(self._incarnation, self._attempt_count)
 
     def link(self, address):
-        """Find or open the link to a peer.
+        """Return the open link to a peer, or open a new one.
 
-        :param address: ``IP:PORT``.
+        :param address: the peer's address, as ``IP:PORT``.
         :return: the :class:`PeerLink`.
         """
         link = self._links.get(address)
--- a/packages/node/src/camphorshelf_node/drain.py
+++ b/packages/node/src/camphorshelf_node/drain.py
@@ -1,4 +1,4 @@
-"""Sees a leaving target off: closes its gate, waits until it is empty and tells it."""
+"""Drains a leaving target: closes its gate, waits until it is empty and notifies it."""
 
 from camphorshelf_core.calls import Request
 from camphorshelf_core.drain import Drain, Phase
@@ -13,7 +13,7 @@
 
 
 class Drainer:
-    """Carries out what the :class:`Drain` says; asks for nothing while the target serves."""
+    """Carries out the steps of a :class:`~camphorshelf_core.drain.Drain`; idle while it is open."""
 
     def __init__(self, loop, settings, admission_controller):
         self._loop = loop
@@ -28,18 +28,18 @@
 
     @property
     def closed(self):
-        """Whether no new call may reach the target."""
+        """Whether the target gets no new calls."""
         return self._drain.closed
 
     @property
     def phase(self):
-        """Where the target stands."""
+        """The target's :class:`~camphorshelf_core.drain.Phase`."""
         return self._drain.phase(self._in_flight())
 
     def set_leaving(self, source, leaving):
-        """Note that somebody wants the target to leave, or no longer wants it.
+        """Record whether a source wants the target to leave.
 
-        :param source: a :class:`~camphorshelf_core.drain.Source`.
+        :param source: the :class:`~camphorshelf_core.drain.Source`.
         :param leaving: True to leave, False to stay.
         :return: None.
         """
@@ -48,9 +48,9 @@
         self._schedule_step()
 
     def record_announced(self, instance):
-        """Note that the target announced itself.
+        """Record that the target announced itself.
 
-        :param instance: names the target's process, or None.
+        :param instance: an id of the target's process; None if the target did not send one.
         :return: None.
         """
         self._announced_at = self._loop.now()
@@ -99,11 +99,13 @@
         if isinstance(result, RequestFailure):
             if not result.sent:
                 self._on_gone()
-        elif result.status < _MIN_SERVER_ERROR_STATUS and self._drain.must_notify(self._in_flight()):
-            # A target without this path answers 404; it reads on its next announcement that
-            # it is empty.
+        elif result.status < _MIN_SERVER_ERROR_STATUS and self._drain.must_notify(
+            self._in_flight()
+        ):
+            # A target that does not serve this path responds with 404. It learns that it is empty
+            # from the response to its next announcement.
             self._drain.record_notified()
-            self._admission_controller.log.info("the target is empty and was told so")
+            self._admission_controller.log.info("the target is empty and has been notified")
 
     def _probe(self):
         stream = dial(self._loop, self._admission_controller.crashes.address)
@@ -119,4 +121,4 @@
         if self._drain.closed:
             self._drain.record_gone()
             self._admission_controller.update_gate()
-            self._admission_controller.log.info("the leaving target has ended")
+            self._admission_controller.log.info("the leaving target has stopped")
--- a/packages/node/src/camphorshelf_node/embeddedheads.py
+++ b/packages/node/src/camphorshelf_node/embeddedheads.py
@@ -1,4 +1,4 @@
-"""Finds heads of responses inside a body, whole ones and one that the body's end cuts short."""
+"""Finds response heads inside a body, including one that is truncated by the body's end."""
 
 import re
 from itertools import islice
@@ -9,17 +9,17 @@
 _NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 _HEAD_END = b"\r\n\r\n"
 _MAX_HEAD_BYTES = 65_536
-# A body may quote any number of responses.
+# A body may contain any number of response heads.
 _MAX_HEADS = 64
 
 
 class EmbeddedHead(NamedTuple):
-    """A status line and the header lines behind it.
+    """A response head: a status line and the header lines after it.
 
     :param status: the HTTP status.
-    :param headers: pairs of lower-case name and value; the last pair of a head that is cut short
-        may be a part of one.
-    :param is_whole: whether the empty line at its end is there.
+    :param headers: pairs of lower-case name and value; in a truncated head the last pair may be
+        incomplete.
+    :param is_whole: whether the empty line that ends the head is present.
     """
 
     status: int
@@ -28,9 +28,9 @@
 
 
 def find_heads(body):
-    """Find the heads of responses inside a body.
+    """Find the response heads inside a body.
 
-    :param body: the bytes.
+    :param body: the body as bytes.
     :return: a generator of :class:`EmbeddedHead`.
     """
     if _VERSION not in body:
--- a/packages/node/src/camphorshelf_node/exchange.py
+++ b/packages/node/src/camphorshelf_node/exchange.py
@@ -1,4 +1,4 @@
-"""One request on its way through the filters and back."""
+"""A caller's request and its single response or refusal."""
 
 from camphorshelf_core.errors import Code, Ran, Refusal, http_status
 from camphorshelf_core.retry import RETRIES_LEFT_HEADER
@@ -9,7 +9,7 @@
 
 
 class Exchange:
-    """A caller's request, and the one answer that it gets."""
+    """A caller's request; sends exactly one response or refusal to the caller."""
 
     def __init__(self, connection, request, keep_alive, received):
         self._connection = connection
@@ -30,24 +30,24 @@
 
     @property
     def finished(self):
-        """Whether the caller has the answer or is gone."""
+        """Whether the response was sent or the caller has disconnected."""
         return self._finished
 
     @property
     def peer(self):
-        """The IP number that the request came from."""
+        """The IP address of the caller."""
         return self._connection.peer
 
     def set_disconnect_handler(self, callback):
-        """Say what to do when the caller goes away first.
+        """Set what to call when the caller disconnects before it has a response.
 
-        :param callback: takes no argument.
+        :param callback: called without arguments.
         :return: None.
         """
         self._on_disconnect = callback
 
     def record_disconnect(self):
-        """Tell that the caller is gone.
+        """Record that the caller has disconnected, and call the disconnect handler.
 
         :return: None.
         """
@@ -57,24 +57,25 @@
                 self._on_disconnect()
 
     def answer(self, response):
-        """Give the caller a target's answer; a second answer is dropped.
+        """Send a target's response to the caller, unless the exchange is finished.
 
-        :param response: the :class:`Response`.
+        :param response: the :class:`~camphorshelf_core.calls.Response`.
         :return: None.
         """
         self._send(response.status, strip_reserved(response.headers), response.body)
 
     def refuse(self, refusal):
-        """Give the caller a final refusal; a second answer is dropped.
+        """Send a refusal to the caller, unless the exchange is finished.
 
-        :param refusal: the :class:`Refusal`.
+        :param refusal: the :class:`~camphorshelf_core.errors.Refusal`.
         :return: None.
         """
         if not self._finished:
             self.code = refusal.code
         if self.is_keyed and refusal.ran is Ran.NOT_RUN:
-            # This request did not run, but an earlier send of its key may have: a caller who
-            # reads NOT_RUN would order again under a new key. Only the claim can tell.
+            # This request did not run, but an earlier request with the same key may have. A caller
+            # that reads NOT_RUN would send its order again under a new key. Only the claim tells
+            # whether the order ran.
             refusal = refusal._replace(ran=Ran.OUTCOME_UNKNOWN)
         status, headers, body = render_refusal(refusal)
         if self.retries_left is not None:
@@ -82,18 +83,18 @@
         self._send(status, headers, body)
 
     def guard(self, callback):
-        """Wrap a callback of this call so that a fault in it refuses this call only.
+        """Wrap a callback of this call so that an exception in it refuses this call.
 
-        Without it the exception ends in the loop: the caller would wait until its deadline,
-        and where the callback stood between two counts, they would never meet again.
+        Otherwise the loop catches the exception: the caller would wait until its deadline, and
+        counters that the callback had updated only in part would stay inconsistent.
 
         :param callback: any function.
-        :return: the function to register in its place.
+        :return: the function to register instead.
         """
         return wrap_callback(callback, self.fail)
 
     def fail(self, error):
-        """Refuse the call after a fault of our own and cancel what was sent for it.
+        """Refuse the call after an exception in the node, and cancel its attempts.
 
         :param error: the exception.
         :return: None.
@@ -115,9 +116,9 @@
 
 
 def render_refusal(refusal):
-    """Put a refusal in terms of HTTP.
+    """Render a refusal as an HTTP response.
 
-    :param refusal: the :class:`Refusal`.
+    :param refusal: the :class:`~camphorshelf_core.errors.Refusal`.
     :return: the status, the headers and the body.
     """
     headers = [
@@ -134,11 +135,11 @@
 
 
 def wrap_callback(callback, fail):
-    """Wrap a callback so that a fault in it goes to the call that it belongs to.
+    """Wrap a callback so that an exception in it is passed to its call.
 
     :param callback: any function.
-    :param fail: takes the exception.
-    :return: the function to register in its place.
+    :param fail: called with the exception.
+    :return: the function to register instead.
     """
 
     def run(*arguments):
@@ -151,11 +152,11 @@
 
 
 def internal_error_refusal(error):
-    """Make the refusal of a call that met a fault of our own.
+    """Build the refusal of a call that failed with an exception in the node.
 
     :param error: the exception.
     :return: the :class:`Refusal`.
     """
-    # It is not known how far the call had come when the fault struck.
-    reason = f"a fault inside the node: {type(error).__name__}"
+    # It is unknown whether the call had already been sent to the target.
+    reason = f"internal error in the node: {type(error).__name__}"
     return Refusal(Code.INTERNAL, reason, Ran.OUTCOME_UNKNOWN)
--- a/packages/node/src/camphorshelf_node/filters.py
+++ b/packages/node/src/camphorshelf_node/filters.py
@@ -1,4 +1,4 @@
-"""The chain of filters that each caller's request passes through."""
+"""The filters that each caller's request passes before it is dispatched."""
 
 from camphorshelf_core.calls import header
 from camphorshelf_core.errors import Code, Refusal
@@ -9,10 +9,10 @@
 
 
 def make_chain(filters, handler):
-    """Join filters into one function.
+    """Join filters and a handler into one function.
 
-    :param filters: functions that take an exchange and the next step.
-    :param last: takes the exchange that passed them all.
+    :param filters: functions that take an exchange and the function that processes it next.
+    :param handler: takes an exchange that passed all filters.
     :return: a function that takes an exchange.
     """
     next_step = handler
@@ -26,9 +26,9 @@
 
 
 def make_identity_filter(is_known_service):
-    """Make the filter that tells the service from the Host header.
+    """Make the filter that reads the service from the Host header.
 
-    :param services: tells whether a service of that name is known.
+    :param is_known_service: takes a service's name and returns whether it is known.
     :return: the filter.
     """
 
@@ -39,7 +39,7 @@
             return
         exchange.service = host.split(b":")[0].split(b".")[0].decode("latin-1").lower()
         if not is_known_service(exchange.service):
-            reason = "no such service, or none of its targets is known yet"
+            reason = "the service is unknown, or none of its targets is known yet"
             exchange.refuse(Refusal(Code.UNKNOWN_SERVICE, reason, retry_after_ms=1000))
             return
         proceed(exchange)
@@ -48,7 +48,7 @@
 
 
 def make_caller_filter(settings):
-    """Make the filter that tells callers apart, for their shares of a target.
+    """Make the filter that identifies the caller, for its share of a target.
 
     :param settings: the :class:`~camphorshelf_core.settings.GateSettings`.
     :return: the filter.
@@ -84,11 +84,11 @@
             reason = "Deadline-Ms must be a whole number of milliseconds above 0"
             exchange.refuse(Refusal(Code.BAD_DEADLINE, reason))
             return
-        # From the arrival, not from now: what a pipelined request waited for the answers before
-        # its own is time spent.
+        # Counted from the arrival: the deadline includes the time that a pipelined request waited
+        # for the responses before its own.
         exchange.deadline = exchange.received + milliseconds / 1000
         if exchange.deadline <= loop.now():
-            reason = "the deadline passed before the call's turn came"
+            reason = "the deadline passed while the call waited for earlier calls"
             exchange.refuse(Refusal(Code.DEADLINE_UNREACHABLE, reason))
             return
         proceed(exchange)
--- a/packages/node/src/camphorshelf_node/headers.py
+++ b/packages/node/src/camphorshelf_node/headers.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 headers: which are passed on, and heads as bytes."""
+"""HTTP/1.1 headers: filters those that are forwarded, and renders messages as bytes."""
 
 from http import HTTPStatus
 
@@ -19,8 +19,8 @@
         b"upgrade",
     }
 )
-# Naming one of these in Connection must not remove it: a caller could strip the deadline or
-# the key that makes its own work run once, or the Host that told the service.
+# A caller must not remove these by naming them in Connection: it would strip the deadline, the
+# idempotency key or the Host header that names the service.
 _END_TO_END = frozenset({b"host", b"content-length", b"idempotency-key", DEADLINE_HEADER})
 _REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 _REPLACED_REQUEST_HEADERS = frozenset({b"content-length", b"expect"})
@@ -30,10 +30,10 @@
 
 
 def strip_hop_by_hop(headers):
-    """Drop the headers that concern one connection only.
+    """Remove hop-by-hop headers.
 
     :param headers: pairs of lower-case name and value.
-    :return: the rest, as a tuple.
+    :return: the remaining headers, as a tuple.
     """
     dropped = _HOP_BY_HOP
     for name, value in headers:
@@ -44,21 +44,21 @@
 
 
 def strip_reserved(headers):
-    """Drop from a target's answer what only nodes may say to callers.
+    """Remove the headers that are reserved for nodes from a target's response.
 
     :param headers: pairs of lower-case name and value.
-    :return: the rest, as a list.
+    :return: the remaining headers, as a list.
     """
-    # A target that passes on a refusal it got as a caller itself would make its own answer look
-    # like a node's word on this call: "not run", though it ran.
+    # A target may forward a refusal that it got as a caller itself. With the node's headers, its
+    # response would claim that this call was not run, although it ran.
     return [pair for pair in headers if not pair[0].startswith(_RESERVED_PREFIX)]
 
 
 def with_deadline(headers, milliseconds):
-    """Replace the deadline that is passed on.
+    """Set the deadline header.
 
     :param headers: pairs of lower-case name and value.
-    :param milliseconds: what is left.
+    :param milliseconds: the time until the deadline.
     :return: the new headers, as a tuple.
     """
     kept = [pair for pair in headers if pair[0] != DEADLINE_HEADER]
@@ -67,27 +67,29 @@
 
 
 def render_request(request):
-    """Turn a request for a target into bytes.
+    """Render a request to a target as bytes.
 
     :param request: the :class:`~camphorshelf_core.calls.Request`.
     :return: head and body.
     """
     lines = [b"%s %s HTTP/1.1" % (request.method.encode(), request.path)]
-    lines += [b"%s: %s" % pair for pair in request.headers if pair[0] not in _REPLACED_REQUEST_HEADERS]
+    lines += [
+        b"%s: %s" % pair for pair in request.headers if pair[0] not in _REPLACED_REQUEST_HEADERS
+    ]
     if request.body or request.method in _BODY_METHODS:
         lines.append(b"content-length: %d" % len(request.body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + request.body
 
 
 def render_response(status, headers, body, method, close):
-    """Turn an answer for a caller into bytes.
+    """Render a response to a caller as bytes.
 
     :param status: the HTTP status.
     :param headers: pairs of name and value, without hop-by-hop headers.
     :param body: the whole body.
-    :param method: the request's method; an answer to HEAD has no body.
-    :param close: whether the connection ends behind it.
-    :return: head and body.
+    :param method: the request's method; a response to HEAD has no body.
+    :param close: whether the connection is closed after the response.
+    :return: head and body as bytes.
     """
     lines = [b"HTTP/1.1 %d %s" % (status, _REASON_PHRASES.get(status, b""))]
     lines += [b"%s: %s" % pair for pair in headers if pair[0] != b"content-length"]
@@ -95,7 +97,7 @@
     if not bodiless:
         lines.append(b"content-length: %d" % len(body))
     elif status != 204:
-        # The length that a GET would get; where the target did not tell, 0 would be a lie.
+        # The length that GET would return. If the target did not send it, 0 would be wrong.
         declared = header(headers, b"content-length")
         if declared is not None:
             lines.append(b"content-length: " + declared)
--- a/packages/node/src/camphorshelf_node/http.py
+++ b/packages/node/src/camphorshelf_node/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 towards callers: requests in, answers out in the order of the requests."""
+"""The HTTP/1.1 server for callers, with pipelining: responses are sent in request order."""
 
 from collections import deque
 
@@ -11,22 +11,22 @@
 from .headers import CONTINUE, render_response
 
 _MAX_WAITING = 16
-# Requests of one connection that are under way at once. Further ones wait to be begun, so that a
-# caller who sends many ahead takes no more of the targets than a few callers do.
+# Requests of one connection that may be in progress at once. Further ones wait, so that a caller
+# that pipelines many requests uses no more of the targets' slots than a few callers do.
 _MAX_IN_PROGRESS = 8
 _HEAD_CHUNK_BYTES = 1_024
 _BODY_CHUNK_BYTES = 16_384
 _VERSIONS = frozenset({"1.0", "1.1"})
-# Methods that the parser knows from other protocols, and the one that asks for a tunnel.
+# Methods of other protocols that the parser accepts, and CONNECT, which asks for a tunnel.
 _REFUSED_METHODS = frozenset({b"CONNECT", b"SOURCE", b"PRI"})
 _HEADER_OVERHEAD_BYTES = 4
 
 
 class HttpConnection:
-    """One caller's connection; its answers leave in the order of its requests.
+    """One caller's connection; responses are sent in the order of the requests.
 
-    :param may_overlap: takes a :class:`~camphorshelf_core.calls.Request` and tells whether it may
-        be under way together with others of its connection; None when no request may.
+    :param may_overlap: takes a :class:`~camphorshelf_core.calls.Request` and returns whether it
+        may be in progress together with others of its connection; None when no request may.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
 
     @property
     def busy(self):
-        """Whether a request is arriving, being answered or waiting, or an answer is going out."""
+        """Whether a request is arriving, waiting or in progress, or a response is being sent."""
         arriving = self._head_bytes > 0 or not self._in_head
         answering = self._pending or self._stream.unsent
         return bool(answering or arriving or self._unread) and not self._stream.closed
@@ -88,11 +88,11 @@
         self._stream.close()
 
     def finish(self):
-        """Close when what has been begun is answered; the last answer says so to the caller.
+        """Close once the requests in progress are answered; the last response announces the close.
 
-        A caller that always sends ahead leaves no moment in which nothing waits: with one more
-        begun behind each answer, its work would be cut off at the end of the process. What has
-        not been begun then counts as unread, and is sent again elsewhere.
+        Waiting requests are not started any more: a caller that always pipelines would keep the
+        connection busy, and its calls would be cut off when the process ends. The caller may send
+        the requests that were not answered again elsewhere.
 
         :return: None.
         """
@@ -101,7 +101,7 @@
             self._stream.close_when_sent()
 
     def report_fault(self, error):
-        """Report an exception in the code of one call.
+        """Report an exception that was raised while a call was processed.
 
         :param error: the exception.
         :return: None.
@@ -110,7 +110,7 @@
             self._on_fault(error)
 
     def answer(self, exchange, status, headers, body):
-        """Send the answer to a request, once those to all requests before it have been sent.
+        """Send the response to a request, after those to all requests before it.
 
         :param exchange: the request's :class:`~camphorshelf_node.exchange.Exchange`.
         :param status: the HTTP status.
@@ -135,7 +135,7 @@
         self._requests += 1
 
     def on_url(self, url):
-        """Called by the parser with a part of the request's target."""
+        """Called by the parser with a part of the request target."""
         self._url += url
 
     def on_header(self, name, value):
@@ -143,15 +143,17 @@
         if self._in_head:
             self._headers.append((name.lower(), value))
             return
-        # The parser gives trailers like headers. Taken as such, a caller could set a second
-        # Host or deadline behind the checks; they are counted and dropped.
+        # The parser reports trailers like headers. If they were used as headers, a caller could
+        # set a second Host or deadline after the checks. They are counted and dropped.
         self._trailer_bytes += len(name) + len(value) + _HEADER_OVERHEAD_BYTES
         if self._trailer_bytes > self._limits.head_bytes:
             raise _RefusedError(Code.HEADERS_TOO_LARGE, "the trailers are larger than allowed")
 
     def on_headers_complete(self):
         """Called by the parser at the end of the head."""
-        size = len(self._url) + sum(len(n) + len(v) + _HEADER_OVERHEAD_BYTES for n, v in self._headers)
+        size = len(self._url) + sum(
+            len(n) + len(v) + _HEADER_OVERHEAD_BYTES for n, v in self._headers
+        )
         if size > self._limits.head_bytes:
             raise _RefusedError(Code.HEADERS_TOO_LARGE, "the head is larger than allowed")
         version = self._parser.get_http_version()
@@ -161,8 +163,8 @@
         if length is not None and int(length) > self._limits.body_bytes:
             raise _RefusedError(Code.BODY_TOO_LARGE, "the body is larger than allowed")
         if self._parser.should_upgrade() and _has_body(self._headers):
-            # The parser stops behind such a head, and the body would be read as the next request.
-            reason = "a request with a body cannot change the protocol"
+            # The parser stops after such a head, and the body would be read as the next request.
+            reason = "a request with a body cannot upgrade the protocol"
             raise _RefusedError(Code.BAD_REQUEST, reason)
         self._in_head = False
         self._continue_due = _wants_continue(version, self._headers)
@@ -205,8 +207,8 @@
         self._advance()
 
     def _read(self, data):
-        # Fed in small pieces, so that a caller who sends many requests ahead is held back by
-        # TCP, not refused, and cannot make the node keep more than a few of them.
+        # The parser gets small chunks, so that a caller that pipelines many requests is slowed
+        # down by TCP flow control and not refused, and the node holds only a few of them.
         start = 0
         while start < len(data) and self._refusal is None:
             if self._is_full:
@@ -225,7 +227,7 @@
             if self._in_head and self._head_bytes > self._limits.head_bytes:
                 raise _RefusedError(Code.HEADERS_TOO_LARGE, "the head is larger than allowed")
         except httptools.HttpParserUpgrade as upgrade:
-            # A server may ignore a wish to change the protocol; the parser stops behind it.
+            # A server may ignore a protocol upgrade; the parser stops after it.
             rest = chunk[upgrade.args[0] :]
             if rest:
                 self._feed(rest)
@@ -258,8 +260,7 @@
         if self._stream.closed or (self._in_progress and not self._can_start_next()):
             return
         if self._stream.unsent:
-            # The answers of further requests would pile up behind what a slow reader has not
-            # taken yet.
+            # Further responses would fill the buffer while the caller reads slowly.
             self._set_timeout(self._limits.body_timeout_ms, "drain")
             return
         if self._unread and not self._is_full:
@@ -274,8 +275,8 @@
     def _can_start_next(self):
         if not self._waiting or not self._in_progress:
             return bool(self._waiting)
-        # Work that must not run twice is under way alone: behind an answer that closes the
-        # connection, or one that never comes, its caller would send it again.
+        # A request that must not run twice is in progress alone. After a response that closes the
+        # connection, or one that never arrives, the caller would send it again.
         last = self._in_progress[-1]
         return (
             len(self._in_progress) < _MAX_IN_PROGRESS
@@ -332,7 +333,8 @@
         self._stream.close_when_sent()
 
     def _set_timeout(self, milliseconds, phase=None):
-        # More bytes of the same head or body give no more time, or a sender could trickle.
+        # More bytes of the same head or body don't extend the timeout: a slow sender could hold the
+        # connection for ever.
         phase = phase and (phase, self._requests)
         if phase is not None and phase == self._phase:
             return
@@ -341,8 +343,8 @@
         if milliseconds is None or self._stream.closed:
             self._timeout_at = None
             return
-        # A timer that falls due too early is set again then. Two new ones for each request would
-        # be two thirds of what all timers cost.
+        # A timer that fires too early is rescheduled then. Two new timers for each request would
+        # be two thirds of the cost of all timers.
         self._timeout_at = self._loop.now() + milliseconds / 1000
         if self._timer is None or self._timer_due_at > self._timeout_at:
             self._set_timer()
@@ -394,7 +396,7 @@
 
 
 class _RefusedError(Exception):
-    """Carries a refusal out of a parser's callback."""
+    """Passes a refusal out of a parser callback."""
 
     def __init__(self, code, reason):
         super().__init__(reason)
@@ -403,29 +405,35 @@
 
 def _check_head(version, method, headers):
     if version not in _VERSIONS or method in _REFUSED_METHODS:
-        raise _RefusedError(Code.BAD_REQUEST, "only HTTP/1.0 and HTTP/1.1 requests are served")
+        raise _RefusedError(
+            Code.BAD_REQUEST, "unsupported method, or HTTP version other than 1.0 and 1.1"
+        )
     hosts = sum(name == b"host" for name, _ in headers)
     if hosts > 1 or (hosts == 0 and version == "1.1"):
         raise _RefusedError(Code.BAD_REQUEST, "exactly one Host header is required")
     coding = header(headers, b"transfer-encoding")
-    # The parser lets codings before "chunked" and chunks in HTTP/1.0 pass; a target could
-    # read another length out of them than this node did.
+    # The parser accepts further codings before "chunked", and chunks in HTTP/1.0. A target could
+    # find another body length in such a message than this node.
     if coding is not None and (version == "1.0" or coding.strip().lower() != b"chunked"):
-        raise _RefusedError(Code.BAD_REQUEST, "the only transfer coding served is chunked")
+        raise _RefusedError(Code.BAD_REQUEST, "the only supported transfer coding is chunked")
     expect = header(headers, b"expect")
     if expect is not None and expect.lower() != b"100-continue":
-        raise _RefusedError(Code.EXPECTATION_FAILED, "the only expectation met is 100-continue")
+        raise _RefusedError(
+            Code.EXPECTATION_FAILED, "the only supported expectation is 100-continue"
+        )
 
 
 def _check_target(url, host):
-    # A request line that names another host than the Host header would be routed by the one and
-    # served by the other.
+    # If the request line named another host than the Host header, the node would route by one and
+    # the target would serve the other.
     scheme, separator, rest = url.partition(b"://")
     if url.startswith(b"/") or not separator or b"/" in scheme:
         return
     authority = rest.partition(b"/")[0].partition(b"?")[0]
     if authority.lower() != (host or b"").strip().lower():
-        raise _RefusedError(Code.BAD_REQUEST, "the request line names another host than Host")
+        raise _RefusedError(
+            Code.BAD_REQUEST, "the request line and the Host header name different hosts"
+        )
 
 
 def _wants_continue(version, headers):
--- a/packages/node/src/camphorshelf_node/httpclient.py
+++ b/packages/node/src/camphorshelf_node/httpclient.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 towards targets and the platform over kept connections."""
+"""The HTTP/1.1 client for targets and the platform, with persistent connections."""
 
 from collections import deque
 from typing import NamedTuple
@@ -9,20 +9,21 @@
 from .responsereader import ResponseError, ResponseReader
 from .streams import dial
 
-# Servers commonly close what was idle for five seconds or more. Work that must not run twice
-# cannot be sent again when such a close crosses it, so it keeps off connections that old.
+# Servers commonly close connections that were idle for five seconds or more. A non-idempotent
+# request can't be sent again if it crosses such a close, so it avoids connections that were idle
+# for longer than this.
 _MAX_IDLE_SECONDS = 4.0
 
 
 class RequestFailure(NamedTuple):
-    """A request without a whole answer; ``sent`` tells whether it may have run."""
+    """A request without a complete response; ``sent`` tells whether it may have run."""
 
     reason: str
     sent: bool
 
 
 class HttpClient:
-    """Kept connections to one address; each carries one request at a time."""
+    """A pool of persistent connections to one address; each carries one request at a time."""
 
     def __init__(self, loop, address, max_connections, max_answer_bytes):
         self._loop = loop
@@ -37,18 +38,19 @@
     def send(self, request, on_done, may_send=None):
         """Send a request.
 
-        :param request: the :class:`Request`.
-        :param on_done: takes the :class:`Response` or a :class:`Failed`.
-        :param may_send: asked just before the first byte is written (a connection may have
-            taken its time); False fails the request unsent.
-        :return: a function that abandons the request and tells whether it may have run.
+        :param request: the :class:`~camphorshelf_core.calls.Request`.
+        :param on_done: called with the :class:`~camphorshelf_core.calls.Response` or a
+            :class:`RequestFailure`.
+        :param may_send: called just before the first byte is written, as the wait for a
+            connection may have been long; False fails the request unsent.
+        :return: a function that abandons the request and returns whether it may have run.
         """
         exchange = _ClientExchange(self, request, on_done, may_send)
         self._assign(exchange)
         return exchange.abandon
 
     def close(self):
-        """Close every idle connection, and the others after their answers.
+        """Close every idle connection, and the others once their requests are done.
 
         :return: None.
         """
@@ -82,7 +84,7 @@
             if connection.stale:
                 connection.close()
             elif connection.idle_since < oldest and not exchange.idempotent:
-                # The one used last is the last in the row: all others are older still.
+                # Connections are in order of last use: all others have been idle even longer.
                 return None
             else:
                 return self._idle.pop()
@@ -116,7 +118,7 @@
             self._idle.remove(connection)
         while self._waiting and self._open < self._max_connections:
             exchange = self._waiting.popleft()
-            # An abandoned request was reported as not run; it must not go out after all.
+            # An abandoned request was reported as not run, so it must not be sent any more.
             if not exchange.abandoned:
                 self._assign(exchange)
 
@@ -140,7 +142,7 @@
         return self.sent
 
     def retry(self):
-        """Send the request once more, on a connection of its own."""
+        """Send the request once more, on a new connection."""
         self.retried = True
         self.connection = None
         if not self.abandoned:
@@ -168,7 +170,7 @@
 
     @property
     def stale(self):
-        """Whether the target has closed the connection or said something unasked."""
+        """Whether the target has closed the connection or sent unexpected data."""
         return self._stream.closed or self._stream.stale
 
     def run(self, exchange):
@@ -184,8 +186,8 @@
 
     def _finish(self, exchange, result, keep):
         if keep:
-            # Not in this turn: what the server sends at once behind its answer would be taken for
-            # the answer to the next request.
+            # Not in this iteration of the loop: data that the server sends right after its response
+            # would be read as the response to the next request.
             self._client._loop.call_later(0, self._reuse)
         else:
             self._stream.close()
@@ -209,7 +211,7 @@
         exchange = self._exchange
         if exchange.may_send is not None and not exchange.may_send():
             self._exchange = None
-            failed = RequestFailure("it was no longer wanted", exchange.sent)
+            failed = RequestFailure("the request was withdrawn", exchange.sent)
             self._finish(exchange, failed, keep=True)
             return
         exchange.sent = True
@@ -242,9 +244,9 @@
         if exchange is None:
             return
         if self._reused and not self._answered and exchange.idempotent and not exchange.retried:
-            # The target closed an idle connection just as the request went out. The caller
-            # would get an error from a healthy target; a second run of an idempotent request
-            # does no harm. For others it might be the second run, so they are told.
+            # The target closed an idle connection just as the request was sent. An idempotent
+            # request is sent again, as its caller would get an error although the target is
+            # healthy. Any other request might run twice, so it fails.
             exchange.retry()
             return
         reason = "the connection was lost" if self._connected else "no connection"
--- a/packages/node/src/camphorshelf_node/keyedcall.py
+++ b/packages/node/src/camphorshelf_node/keyedcall.py
@@ -1,12 +1,13 @@
-"""A call under a key on its way to a target, apart from the callers that wait for it."""
+"""Executes a call with an idempotency key independently of the callers that wait for it."""
 
 from .exchange import internal_error_refusal, wrap_callback
 
 
 class KeyedCall:
-    """Stands in for a caller's exchange behind the claim.
+    """Takes the place of a caller's exchange once the key is claimed.
 
-    A caller that goes away does not take the call with it: the answer is kept for its resend.
+    The call goes on when its caller disconnects: the response is stored for when the caller sends
+    the request again.
     """
 
     def __init__(self, exchange, on_result):
@@ -26,38 +27,38 @@
         return self._finished
 
     def set_disconnect_handler(self, callback):
-        """Take note of nothing: this call is not given up with its caller.
+        """Ignore the handler: this call goes on when its caller disconnects.
 
         :param callback: never called.
         :return: None.
         """
 
     def answer(self, response):
-        """Take the target's answer.
+        """End the call with the target's response.
 
-        :param response: the response.
+        :param response: the :class:`~camphorshelf_core.calls.Response`.
         :return: None.
         """
         self._finish(response)
 
     def refuse(self, refusal):
-        """Take the final refusal.
+        """End the call with a refusal.
 
-        :param refusal: the refusal.
+        :param refusal: the :class:`~camphorshelf_core.errors.Refusal`.
         :return: None.
         """
         self._finish(refusal)
 
     def guard(self, callback):
-        """Wrap a callback of this call so that a fault in it ends this call only.
+        """Wrap a callback of this call so that an exception in it ends this call.
 
         :param callback: any function.
-        :return: the function to register in its place.
+        :return: the function to register instead.
         """
         return wrap_callback(callback, self.fail)
 
     def fail(self, error):
-        """End the call after a fault of our own.
+        """End the call after an exception in the node.
 
         :param error: the exception.
         :return: None.
--- a/packages/node/src/camphorshelf_node/links.py
+++ b/packages/node/src/camphorshelf_node/links.py
@@ -1,4 +1,4 @@
-"""Links between nodes: WebSocket frames that carry CBOR messages."""
+"""Links between nodes: WebSocket connections that carry CBOR messages."""
 
 import itertools
 from collections import deque
@@ -27,18 +27,19 @@
 
 _MAX_MESSAGE_BYTES = 32 * 1024 * 1024
 _MAX_BODY_BYTES = _MAX_MESSAGE_BYTES - 1024 * 1024
-# A large body in one frame would hold up every other message of its link: 64 MB take 100 s on the
-# slowest links (5 Mbit/s), a piece 0.1 s. Pieces wait until what was sent before has gone out.
+# A large body in one frame would delay every other message of its link: 64 MB take 100 s on the
+# slowest links (5 Mbit/s), a fragment 0.1 s. Fragments wait until the data before them is sent.
 _FRAGMENT_BYTES = 64 * 1024
 _SEND_WINDOW_BYTES = 64 * 1024
 _MAX_REASSEMBLED_BYTES = 96 * 1024 * 1024
-# Packets lost in a row can hold up a connection for a second or two; the kernel gives up later.
+# Several lost packets in a row can delay a connection for one or two seconds, so the kernel must
+# not close it earlier than that.
 TCP_TIMEOUT_SECONDS = 4.0
 _MAX_UNSENT_BYTES = 128 * 1024 * 1024
 
 
 class Channel:
-    """Moves messages over one WebSocket connection, whichever side opened it."""
+    """Sends and receives messages over one WebSocket connection, as client or server."""
 
     def __init__(self, stream, protocol, on_message, on_close):
         self._stream = stream
@@ -50,7 +51,7 @@
         self._message_numbers = itertools.count(1)
         self._incoming = {}
         self.reads = 0
-        # Whether the handshake was ever over: until then no message has been sent.
+        # Whether the handshake has ever completed: no message is sent before that.
         self.handshake_done = False
         stream.on_data = self._on_data
         stream.on_close = on_close
@@ -58,11 +59,11 @@
 
     @property
     def closed(self):
-        """Whether the connection is gone."""
+        """Whether the connection is closed."""
         return self._stream.closed
 
     def ping(self):
-        """Ask the peer for a sign of life on this connection.
+        """Send a WebSocket ping, which the peer answers with a pong.
 
         :return: None.
         """
@@ -71,7 +72,7 @@
             self._flush()
 
     def start(self):
-        """Send the opening handshake as the side that dials.
+        """Send the opening handshake as the client.
 
         :return: None.
         """
@@ -79,9 +80,9 @@
         self._flush()
 
     def send(self, message):
-        """Send a message, or keep it until the handshake is over.
+        """Send a message, or queue it until the handshake is complete.
 
-        :param message: a message of the core package.
+        :param message: a message of the core package's ``messages`` module.
         :return: None.
         """
         if self._protocol.state is not OPEN:
@@ -97,10 +98,10 @@
             self._send_fragments()
 
     def abort(self, call_id):
-        """Send no more of a message that goes out in pieces.
+        """Stop sending a fragmented message.
 
-        :param call_id: its call.
-        :return: whether some of it had not been sent, so that the peer never gets it whole.
+        :param call_id: the call id of the message.
+        :return: whether fragments were left to send, so that the peer never gets the message.
         """
         for fragmented in self._fragmented:
             if fragmented.call_id == call_id:
@@ -155,18 +156,24 @@
         parts = self._incoming.setdefault(message.number, bytearray())
         parts += message.data
         if len(parts) > _MAX_REASSEMBLED_BYTES:
-            raise ProtocolError("a message in pieces is larger than allowed")
+            raise ProtocolError("a fragmented message is larger than allowed")
         if not message.is_last:
             return None
         return decode(bytes(self._incoming.pop(message.number)))
 
     def _send_fragments(self):
-        # One piece of each large message in turn, and only while little waits to go out: what is
-        # sent meanwhile stands behind one piece, not behind the rest of a body.
-        while self._fragmented and self._stream.unsent < _SEND_WINDOW_BYTES and not self._stream.closed:
+        # Sends one fragment of each message in turn, and only while the write buffer is small:
+        # other messages then wait for one fragment, not for the rest of a body.
+        while (
+            self._fragmented
+            and self._stream.unsent < _SEND_WINDOW_BYTES
+            and not self._stream.closed
+        ):
             fragmented = self._fragmented.popleft()
             fragment, is_last = fragmented.next_fragment()
-            self._protocol.send_binary(encode(FragmentMessage(fragmented.number, is_last, fragment)))
+            self._protocol.send_binary(
+                encode(FragmentMessage(fragmented.number, is_last, fragment))
+            )
             if not is_last:
                 self._fragmented.append(fragmented)
             self._flush()
@@ -175,13 +182,13 @@
         for data in self._protocol.data_to_send():
             if data:
                 self._stream.write(data)
-        # A peer that takes nothing any more would fill this node's memory with its answers.
+        # A peer that no longer reads would make its answers fill this node's memory.
         if self._stream.unsent > _MAX_UNSENT_BYTES:
             self._stream.close()
 
 
 class _FragmentedMessage:
-    """A message on its way in pieces."""
+    """A message that is being sent in fragments."""
 
     def __init__(self, number, call_id, data):
         self.number = number
@@ -189,18 +196,19 @@
         self._data = memoryview(data)
 
     def next_fragment(self):
-        """Take the next piece, and whether it is the last."""
+        """Return the next fragment, and whether it is the last."""
         fragment, self._data = self._data[:_FRAGMENT_BYTES], self._data[_FRAGMENT_BYTES:]
         return bytes(fragment), not self._data
 
 
 class PeerLink:
-    """The calling side of a link: pairs each answer with its call by an id never reused.
+    """The client side of a link: matches answers with calls by an id that is never reused.
 
-    :param silence_s: after so long without any sign of life a link takes no new calls; None where
-        that is not watched.
-    :param is_heard: tells whether the host is heard otherwise; None for never.
-    :param ask: asks the host for a word on another way; None where there is none.
+    :param silence_s: seconds without received data after which the link accepts no new calls;
+        None to disable this check.
+    :param is_host_alive: returns whether the host has been heard from by other means; None if it
+        never is.
+    :param probe_host: probes the host by other means; None if there are none.
     """
 
     def __init__(self, loop, address, silence_s=None, is_host_alive=None, probe_host=None):
@@ -223,15 +231,16 @@
 
     @property
     def closed(self):
-        """Whether the link takes no more calls."""
+        """Whether the link accepts no more calls."""
         return self._retired or self._channel.closed
 
     def call(self, message, on_done):
         """Send a call.
 
-        :param message: a :class:`CallMessage`; its ``call_id`` is filled in here.
-        :param on_done: takes an answer or refused message, or a :class:`Refusal` when the
-            link is lost.
+        :param message: the message, such as a :class:`~camphorshelf_core.messages.CallMessage`;
+            its ``call_id`` is set here.
+        :param on_done: called with the peer's answer, a message, or with a
+            :class:`~camphorshelf_core.errors.Refusal` when the link is lost.
         :return: a function that cancels the call.
         """
         call_id = next(self._ids)
@@ -256,11 +265,11 @@
         self._channel.close()
 
     def _watch_activity(self):
-        # A connection can go silent for good while new ones work. Without this each call on it
-        # would wait for its own deadline, and new calls would follow them: when nothing comes, not
-        # even the answer to a ping, new calls get a new connection. What is under way stays while
-        # the host is heard otherwise, for lost packets hold up a connection as long; when the host
-        # is not heard either, its calls are given up in time to go elsewhere.
+        # A connection can hang for good while new ones work. Without this check each call on it
+        # would wait until its deadline, and new calls would be sent on it too. When no data
+        # arrives, not even the pong to a ping, new calls get a new connection. Calls in flight stay
+        # while the host is heard from by other means, as lost packets can delay a connection as
+        # long. If it isn't, they fail early enough to be sent elsewhere.
         self._watched_reads = self._channel.reads
         self._loop.call_later(self._silence_s / 2, self._check_activity)
 
@@ -282,7 +291,11 @@
             self._watched_reads = None
             if self._pending:
                 self._watch_activity()
-        elif self._channel.handshake_done and self._is_host_alive is not None and self._is_host_alive():
+        elif (
+            self._channel.handshake_done
+            and self._is_host_alive is not None
+            and self._is_host_alive()
+        ):
             self._retired = True
             self._watch_activity()
         else:
@@ -297,8 +310,9 @@
             self._retired = True
             self._close_if_retired()
             return
-        # An answer that nobody waits for (cancelled, late or a peer's fault) must not reach
-        # another call: ids are never reused, so an unknown one can only be dropped.
+        # An answer that no call waits for (to a cancelled call, late, or an error of the peer)
+        # must not reach another call. Ids are never reused, so an answer to an unknown id is
+        # dropped.
         on_done = self._pending.pop(getattr(message, "call_id", None), None)
         if on_done is None:
             self.unknown_answers += 1
@@ -307,8 +321,8 @@
         self._close_if_retired()
 
     def _close_if_retired(self):
-        # The close tells the stopping peer that no call is on its way: it comes behind all
-        # that was sent before the goodbye was read.
+        # The close tells the stopping peer that no more calls will arrive: it comes after
+        # everything that was sent before the GoAwayMessage was read.
         if self._retired and not self._pending:
             self._channel.close()
 
@@ -322,11 +336,11 @@
 
 
 class PeerServer:
-    """The serving side of a link: hands each message to the handler of its type.
+    """The server side of a link: passes each message to the handler of its type.
 
     A handler takes the message and a function that replies to it, and may return a function
-    that cancels the work. Messages without a handler are counted and dropped, so that an older
-    node outlives a newer peer.
+    that cancels the message's processing. Messages without a handler are counted and dropped, so
+    that an older node can work with a newer peer.
     """
 
     def __init__(self, stream, handlers, on_close=None):
@@ -340,11 +354,11 @@
 
     @property
     def busy(self):
-        """Whether something that the peer asked for is not yet answered."""
+        """Whether a message of the peer is not answered yet."""
         return bool(self._cancels)
 
     def send_go_away(self):
-        """Ask the peer to send no more calls and to close when it has all its answers.
+        """Ask the peer to send no more calls, and to close the link once all are answered.
 
         :return: None.
         """
@@ -390,11 +404,12 @@
 
 
 def make_call_handler(admission_controller, on_fault=None):
-    """Make the handler that runs calls at the target beside the node.
+    """Make the handler that runs calls at the local target.
 
-    :param gatekeeper: the node's :class:`~camphorshelf_node.gatekeeper.Gatekeeper`.
-    :param on_fault: takes the exception when a call ends in one.
-    :return: the handler of :class:`CallMessage`.
+    :param admission_controller: the node's
+        :class:`~camphorshelf_node.admissioncontroller.AdmissionController`.
+    :param on_fault: called with the exception when a call raises one.
+    :return: the handler of :class:`~camphorshelf_core.messages.CallMessage`.
     """
 
     def handle(message, reply):
@@ -404,10 +419,10 @@
         try:
             return admission_controller.run(message, done)
         except Exception as error:
-            # The peer's caller would wait until its deadline for an answer that never comes.
+            # Without an answer, the peer's caller would wait until its deadline.
             if on_fault is not None:
                 on_fault(error)
-            reason = f"a fault inside the target's node: {type(error).__name__}"
+            reason = f"internal error in the target's node: {type(error).__name__}"
             done(Refusal(Code.INTERNAL, reason, Ran.OUTCOME_UNKNOWN), admission_controller.load)
             return None
 
@@ -420,23 +435,23 @@
         return RefusedMessage(0, int(code), reason, ran.value, retry_after_ms, load)
     status, headers, body = result
     if len(body) > _MAX_BODY_BYTES:
-        # Sent all the same, it would break the link and every other call on it.
-        reason = "the answer is larger than a link carries"
+        # Sent nevertheless, it would break the link and fail every other call on it.
+        reason = "the response is larger than a link can carry"
         return RefusedMessage(0, int(Code.ANSWER_TOO_LARGE), reason, Ran.RAN.value, None, load)
     return AnswerMessage(0, status, headers, body, load)
 
 
 def _run_all(callbacks):
-    """Run every callback, whatever becomes of the others; the last fault is raised."""
-    fault = None
+    """Run every callback even if others fail; raise the last exception."""
+    last_error = None
     for callback in callbacks:
         try:
             callback()
         except Exception as error:
-            fault = error
-    if fault is not None:
-        raise fault
+            last_error = error
+    if last_error is not None:
+        raise last_error
 
 
 def _do_nothing():
-    """Stands for the cancellation of work that is still being started."""
+    """Cancels a message whose handler has not returned yet: there is nothing to do."""
--- a/packages/node/src/camphorshelf_node/listeners.py
+++ b/packages/node/src/camphorshelf_node/listeners.py
@@ -1,4 +1,4 @@
-"""The listeners for callers and for peers, and how they come to rest when the node stops."""
+"""The listeners for callers and peers, and their draining when the node stops."""
 
 from camphorshelf_core.errors import Code, Refusal
 from camphorshelf_core.settings import split_address
@@ -15,7 +15,7 @@
 
 
 class CallerListener:
-    """Takes callers' connections up to a limit and forgets the closed ones."""
+    """Accepts callers' connections up to a limit."""
 
     def __init__(self, loop, settings, handle, on_fault, on_answer):
         self._loop = loop
@@ -28,12 +28,12 @@
 
     @property
     def connections(self):
-        """How many callers are connected."""
+        """The number of open connections of callers."""
         return len(self._connections)
 
     @property
     def busy(self):
-        """Whether any caller waits for an answer."""
+        """Whether any connection has a request or a response in progress."""
         return any(connection.busy for connection in self._connections)
 
     def start(self):
@@ -45,7 +45,7 @@
         self._close_listener = listen(self._loop, address, self._on_accept)
 
     def finish(self):
-        """Take no new connections and close each one as soon as it is idle.
+        """Accept no new connections, and close each open one as soon as it is idle.
 
         :return: None.
         """
@@ -56,9 +56,9 @@
     def _on_accept(self, stream, peer):
         limits = self._settings.limits
         if len(self._connections) >= limits.caller_connections:
-            # Left in the backlog, the caller would wait for its own timeout; told at once, it
+            # In the listen backlog, the caller would wait for its own timeout; refused at once, it
             # can go to another node.
-            reason = "the node has as many callers' connections as it may"
+            reason = "the node has reached its limit of callers' connections"
             refusal = Refusal(Code.CONNECTION_LIMIT, reason, retry_after_ms=_RETRY_AFTER_MS)
             status, headers, body = render_refusal(refusal)
             stream.write(render_response(status, headers, body, "GET", close=True))
@@ -79,7 +79,7 @@
 
 
 class PeerListener:
-    """Takes links of peers."""
+    """Accepts links from peers."""
 
     def __init__(self, loop, settings, handlers):
         self._loop = loop
@@ -90,12 +90,12 @@
 
     @property
     def links(self):
-        """How many peers are connected."""
+        """The number of open links from peers."""
         return len(self._servers)
 
     @property
     def busy(self):
-        """Whether any peer waits for an answer."""
+        """Whether any peer waits for the answer to a message."""
         return any(server.busy for server in self._servers)
 
     def start(self):
@@ -107,7 +107,7 @@
         self._close_listener = listen(self._loop, address, self._on_accept)
 
     def finish(self):
-        """Take no new links and ask the peers to close theirs when they have their answers.
+        """Accept no new links, and ask the peers to close theirs once all calls are answered.
 
         :return: None.
         """
@@ -121,9 +121,9 @@
         self._enforce_link_limit()
 
     def _enforce_link_limit(self):
-        # Every node may be an entry node for this target. Without a limit their links alone use
-        # up the host's connections and memory. The longest kept one that is idle is asked to
-        # close; its peer opens another when it has a call, so no call is lost.
+        # Every node may be an entry node for this target. Without a limit, their links alone would
+        # use up the host's connections and memory. The peer of the oldest idle link is asked to
+        # close it; it opens another for its next call, so no call is lost.
         excess_links = len(self._servers) - sum(self._servers.values())
         excess_links -= self._settings.entry.link_limit
         for server, is_leaving in list(self._servers.items()):
@@ -139,16 +139,17 @@
 
 
 def drain(loop, callers, peers, on_drained):
-    """Let both listeners come to rest, so that nothing in flight is cut off.
+    """Drain both listeners, so that no call in flight is cut off.
 
-    A peer may have sent a call before it read the goodbye; it is on the link before the peer's
-    close. So the node waits until the peers have closed their links, though only for a few
-    seconds once it has nothing left to answer: a paused peer must not keep it for ever.
+    A peer may have sent a call before it read the :class:`GoAwayMessage`; the call arrives before
+    the peer closes the link. So the node waits until the peers have closed their links. Once no
+    call is in flight it waits no longer than a few seconds after the start of the drain, as a
+    paused peer must not keep the node from stopping.
 
     :param loop: the node's loop.
     :param callers: the :class:`CallerListener`.
     :param peers: the :class:`PeerListener`.
-    :param on_drained: takes no argument.
+    :param on_drained: called without arguments when both listeners are drained.
     :return: None.
     """
     callers.finish()
--- a/packages/node/src/camphorshelf_node/localcall.py
+++ b/packages/node/src/camphorshelf_node/localcall.py
@@ -1,4 +1,4 @@
-"""One call at the target's node, from its arrival to its answer."""
+"""One call at the node of its target, from its arrival to its result."""
 
 import time
 
@@ -18,7 +18,7 @@
 
 
 class LocalCall:
-    """Moves a call through the gate and gives its one answer."""
+    """Takes a call through admission and execution, and reports exactly one result."""
 
     def __init__(self, admission_controller, loop, settings, call, on_done):
         self._admission_controller = admission_controller
@@ -45,19 +45,19 @@
 
     @property
     def attempt_name(self):
-        """The attempt's name for the log."""
+        """The attempt's id as text, for the log."""
         incarnation, number = self.call.attempt
         return f"{incarnation}-{number}"
 
     @property
     def is_queued(self):
-        """Whether the call is in line for a slot."""
+        """Whether the call waits for a slot."""
         return not self.done and self.pending_call.started_at is None
 
     def refuse(self, refusal):
-        """Give the final answer of a call that does not run.
+        """End the call with a refusal, unless it is done.
 
-        :param refusal: the :class:`Refusal`.
+        :param refusal: the :class:`~camphorshelf_core.errors.Refusal`.
         :return: None.
         """
         if not self.done:
@@ -66,16 +66,16 @@
             self._answer(refusal)
 
     def refuse_suspect(self):
-        """Refuse a suspect that cannot have its turn soon.
+        """Refuse a suspect that has to wait too long for the suspect that runs.
 
         :return: None.
         """
-        reason = "another request under suspicion of crashing targets runs here"
+        reason = "another request that is suspected of crashing targets is running"
         retry_after_ms = int(_SUSPECT_WAIT_SECONDS * 1000)
         self.refuse(Refusal(Code.SUSPECT_WAITING, reason, retry_after_ms=retry_after_ms))
 
     def wait_for_suspect(self):
-        """Wait for the suspect that runs, but not for long.
+        """Wait until the running suspect ends, until a timeout or the call's deadline.
 
         :return: None.
         """
@@ -83,7 +83,7 @@
         self._suspect_timer = self._loop.call_later(wait, self.refuse_suspect)
 
     def stop_waiting_for_suspect(self):
-        """Stop to wait for the suspect that runs.
+        """Cancel the timeout for the running suspect.
 
         :return: None.
         """
@@ -92,7 +92,7 @@
             self._suspect_timer = None
 
     def cancel(self):
-        """Drop the call: nobody waits for its answer any more.
+        """Cancel the call, as no caller waits for its result any more.
 
         :return: None.
         """
@@ -107,10 +107,10 @@
         self._admission_controller.cancel(self)
 
     def fail(self, blamed, reason):
-        """Give the answer of a call whose connection was lost in the middle.
+        """End a call whose connection was lost before the response was complete.
 
-        :param blamed: whether the call may be why the target died.
-        :param reason: what happened.
+        :param blamed: whether the call may have crashed the target.
+        :param reason: the failure as text.
         :return: None.
         """
         if not self.done:
@@ -127,9 +127,11 @@
         self._abandon = self._admission_controller.send(request, self._on_result, self._may_send)
 
     def _may_send(self):
-        # A connection may have taken its time to open; this is the last moment to hold back.
+        # The connection may have taken long to open; this is the last moment to withhold the call.
         deadline = self.pending_call.deadline
-        return deadline > self._loop.now() and self._admission_controller.may_start(self.call, deadline)
+        return deadline > self._loop.now() and self._admission_controller.may_start(
+            self.call, deadline
+        )
 
     def _on_result(self, result):
         self._abandon = None
@@ -141,7 +143,7 @@
         if result.status == _UNAVAILABLE_STATUS:
             self._admission_controller.record_shed()
             if self._says_not_run(result):
-                self._answer(Refusal(Code.TARGET_SHED, "the target turned the call away"))
+                self._answer(Refusal(Code.TARGET_SHED, "the target shed the call"))
                 return
         self._answer(result)
 
@@ -156,8 +158,8 @@
             self._answer(Refusal(Code.DEADLINE_UNREACHABLE, reason))
 
     def _says_not_run(self, response):
-        # A bare 503 proves nothing: the target may have failed after half the work. Only one
-        # that says "not run" by the agreed header may be sent elsewhere.
+        # The status 503 alone does not prove that the call did not run: the target may have failed
+        # halfway. Only if the configured header says so may the call be sent elsewhere.
         name = self._settings.not_run_header
         return name is not None and header(response.headers, name.encode()) == _NOT_RUN_VALUE
 
--- a/packages/node/src/camphorshelf_node/loop.py
+++ b/packages/node/src/camphorshelf_node/loop.py
@@ -1,4 +1,4 @@
-"""The node's single loop: circuits' epoll poller with direct callbacks and one scheduler."""
+"""The node's event loop: circuits' epoll poller with direct callbacks and timers."""
 
 import heapq
 import itertools
@@ -15,7 +15,7 @@
 
 
 class Timer:
-    """A callback due at a moment of the monotonic clock."""
+    """A callback that is due at a time of :meth:`Loop.now`."""
 
     __slots__ = ("when", "callback", "_loop")
 
@@ -25,7 +25,7 @@
         self._loop = loop
 
     def cancel(self):
-        """Keep the callback from being called.
+        """Cancel the callback.
 
         :return: None.
         """
@@ -35,11 +35,11 @@
 
 
 class Loop(EPoll):
-    """Polls sockets, calls their callbacks and runs timers on the monotonic clock.
+    """Polls sockets, calls their callbacks and runs timers on the boot-time clock.
 
-    circuits fires two events for each readable socket and keeps its timers on the wall
-    clock; callbacks called straight from the poll take a third of that time and a step of
-    the wall clock cannot delay a deadline.
+    circuits fires two events for each readable socket and runs its timers on the wall clock.
+    Callbacks that are called straight from the poller take a third of that time, and a step of
+    the wall clock can't delay a deadline.
     """
 
     channel = "loop"
@@ -55,21 +55,21 @@
 
     @staticmethod
     def now():
-        """Read the steady clock, which goes on while the host is suspended.
+        """Return the time of the boot-time clock, which goes on while the host is suspended.
 
-        ``time.monotonic`` stands still then, so a host that wakes would take every deadline of
-        before for unspent and run work that nobody waits for any more.
+        ``time.monotonic`` stops during a suspend. A host that resumes would treat deadlines that
+        passed meanwhile as not reached, and run calls that no caller waits for any more.
 
-        :return: seconds.
+        :return: the time in seconds.
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def watch(self, fileno, mask, callback):
-        """Call back when a descriptor is ready.
+        """Call a function whenever a file descriptor is ready.
 
-        :param fileno: the descriptor.
+        :param fileno: the file descriptor.
         :param mask: ``READABLE``, ``WRITABLE`` or both.
-        :param callback: takes the mask of what is ready.
+        :param callback: called with the mask of the events that occurred.
         :return: None.
         """
         if fileno in self._callbacks:
@@ -79,19 +79,19 @@
         self._callbacks[fileno] = callback
 
     def unwatch(self, fileno):
-        """Forget a descriptor; to be called before it is closed.
+        """Stop watching a file descriptor; must be called before it is closed.
 
-        :param fileno: the descriptor.
+        :param fileno: the file descriptor.
         :return: None.
         """
         if self._callbacks.pop(fileno, None) is not None:
             self._poller.unregister(fileno)
 
     def call_later(self, seconds, callback):
-        """Call back once after a time.
+        """Call a function once after a delay.
 
-        :param seconds: the time to wait.
-        :param callback: takes no argument.
+        :param seconds: the delay in seconds.
+        :param callback: called without arguments.
         :return: the :class:`Timer`.
         """
         timer = Timer(self.now() + seconds, callback, self)
@@ -99,10 +99,10 @@
         return timer
 
     def call_every(self, seconds, callback):
-        """Call back again and again.
+        """Call a function periodically.
 
-        :param seconds: the time between two calls.
-        :param callback: takes no argument.
+        :param seconds: the interval in seconds.
+        :param callback: called without arguments.
         :return: None.
         """
 
@@ -113,19 +113,20 @@
         self.call_later(seconds, run)
 
     def call_from_signal(self, callback):
-        """Call back in the loop's next turn; safe to use in a signal's handler.
+        """Call a function in the loop's next iteration; safe to use in a signal handler.
 
-        The handler may run in the middle of a change to the timers, so it must not touch them.
+        A signal handler may run in the middle of a change to the timers, so it must not use
+        :meth:`call_later`.
 
-        :param callback: takes no argument.
+        :param callback: called without arguments.
         :return: None.
         """
         self._signal_callbacks.append(callback)
         self.resume()
 
     def _generate_events(self, event):
-        # circuits builds, queues and dispatches one event for each turn of its loop. Most turns
-        # here bring it no work, so polling goes on without it until there is some.
+        # circuits creates, queues and dispatches one event for each iteration of its loop. Most
+        # iterations fire no event of circuits, so polling continues here until one does.
         root = self.root
         self._turn(event)
         while event.time_left < 0 and root.running and not len(root):
@@ -143,9 +144,9 @@
         self._run_timers()
 
     def _run(self, callback, *arguments):
-        # A fault in one call's code must not end the loop, or every other call of the node
-        # would be cut off with it. The callbacks of calls answer their own faults; this is
-        # for what they miss.
+        # An exception in the code of one call must not end the loop, as that would cut off all
+        # other calls of the node. Calls handle the exceptions of their own callbacks; this
+        # handler catches the others.
         try:
             callback(*arguments)
         except Exception:
@@ -161,8 +162,8 @@
         return wait if timeout < 0 else min(timeout, wait)
 
     def _drop_cancelled(self):
-        # Most deadlines are cancelled before they are due; waiting for them would wake the process
-        # for nothing.
+        # Most deadline timers are cancelled before they are due; waiting for them would wake up
+        # the process for nothing.
         while self._timers and self._timers[0][2].callback is None:
             heapq.heappop(self._timers)
             self._cancelled_count -= 1
@@ -179,10 +180,12 @@
 
     def _record_cancelled(self):
         # Every call has a timer for its deadline, mostly cancelled after a few milliseconds.
-        # Left in the heap until due, they would hold the calls of the last minute in memory:
-        # at 1,000 calls/s and a deadline of 10 s, 10,000 dead entries.
+        # If cancelled timers stayed in the heap until they are due, they would use memory for all
+        # recent calls: at 1,000 calls/s and a deadline of 10 s, 10,000 cancelled entries.
         self._cancelled_count += 1
-        if self._cancelled_count > _MIN_CANCELLED_TO_COMPACT and self._cancelled_count * 2 > len(self._timers):
+        if self._cancelled_count > _MIN_CANCELLED_TO_COMPACT and self._cancelled_count * 2 > len(
+            self._timers
+        ):
             self._timers = [entry for entry in self._timers if entry[2].callback is not None]
             heapq.heapify(self._timers)
             self._cancelled_count = 0
--- a/packages/node/src/camphorshelf_node/reply.py
+++ b/packages/node/src/camphorshelf_node/reply.py
@@ -1,4 +1,4 @@
-"""The JSON answers of the administration API."""
+"""The JSON responses of the administration API to refused requests."""
 
 import json
 
@@ -6,10 +6,10 @@
 
 
 def describe_refusal(refusal):
-    """Turn a refusal into the body of an answer.
+    """Convert a refusal to a response body.
 
     :param refusal: the :class:`~camphorshelf_core.errors.Refusal`.
-    :return: a document.
+    :return: a dict that can be encoded as JSON.
     """
     document = {
         "code": int(refusal.code),
@@ -22,22 +22,22 @@
 
 
 def reply_refusal(reply, refusal, **more):
-    """Answer with a refusal.
+    """Respond with a refusal.
 
     :param reply: the request's reply function.
-    :param refusal: the :class:`Refusal`.
-    :param more: further fields of the answer's document.
+    :param refusal: the :class:`~camphorshelf_core.errors.Refusal`.
+    :param more: further fields of the response body.
     :return: None.
     """
     reply(http_status(refusal.code), {**describe_refusal(refusal), **more})
 
 
 def render_error(code, reason):
-    """Turn an error into a whole HTTP answer that ends its connection.
+    """Render an error as a complete HTTP response that ends its connection.
 
     :param code: the :class:`~camphorshelf_core.errors.Code`.
-    :param reason: one sentence.
-    :return: the bytes.
+    :param reason: the reason as one sentence.
+    :return: head and body as bytes.
     """
     document = {"code": int(code), "name": code.name, "error": reason}
     body = json.dumps(document).encode()
--- a/packages/node/src/camphorshelf_node/responsereader.py
+++ b/packages/node/src/camphorshelf_node/responsereader.py
@@ -1,4 +1,4 @@
-"""Finds the response to one request among the bytes that its connection delivers."""
+"""Reads the response to one request from the bytes that its connection receives."""
 
 import re
 from enum import Enum
@@ -23,19 +23,19 @@
 
 
 class ResponseError(Exception):
-    """The bytes of a connection cannot be read as the response to its request."""
+    """The bytes of a connection are not a valid response to its request."""
 
 
 class ResponseReader:
-    """Reads what comes back for one request.
+    """Reads the response to one request.
 
-    The response is final at its last byte. What follows belongs to no request: it changes nothing
-    and is only noted.
+    The response is final at its last byte. Data after it belongs to no request: it doesn't change
+    the response and is only recorded.
 
     :param method: the request's method.
-    :param max_body_bytes: the largest body that is taken.
-    :param is_own: takes the status and the headers of a response and tells whether it answers the
-        request; a response that does not is skipped.
+    :param max_body_bytes: the largest body that is accepted.
+    :param is_expected: takes the status and the headers of a response and returns whether it
+        answers the request; other responses are skipped.
     """
 
     def __init__(self, method, max_body_bytes, is_expected=lambda status, headers: True):
@@ -53,7 +53,7 @@
 
     @property
     def response(self):
-        """The whole :class:`~camphorshelf_core.calls.Response`, or None as long as it is not."""
+        """The :class:`~camphorshelf_core.calls.Response`, or None until it is complete."""
         return self._response
 
     @property
@@ -68,17 +68,17 @@
 
     @property
     def is_in_head(self):
-        """Whether no head of any response has arrived whole."""
+        """Whether no complete head of a response has arrived yet."""
         return self._in_head and not self._skipped_count
 
     @property
     def has_trailing_data(self):
-        """Whether something followed the response."""
+        """Whether data followed the response."""
         return self._has_trailing_data
 
     @property
     def skipped(self):
-        """How many responses to other requests came before it."""
+        """The number of responses to other requests that came before it."""
         return self._skipped_count
 
     @property
@@ -87,11 +87,11 @@
         return self._keep_alive and not self._has_trailing_data and not self._skipped_count
 
     def feed(self, data):
-        """Read bytes of the connection.
+        """Read bytes from the connection.
 
         :param data: the bytes.
         :return: None.
-        :raises ResponseError: when they cannot be the response and none was whole before them.
+        :raises ResponseError: when the bytes are no valid response and none was complete before.
         """
         if self._response is not None:
             self._has_trailing_data = True
@@ -106,7 +106,7 @@
             self._raise_error()
 
     def end(self):
-        """Take in that the server has ended the connection in order.
+        """Handle an orderly close of the connection by the server.
 
         :return: None.
         """
@@ -121,7 +121,7 @@
             self._start()
 
     def on_status(self, reason):
-        """Called by the parser with a part of the status line behind the status."""
+        """Called by the parser with a part of the reason phrase of the status line."""
         if self._response is None:
             self._reason += reason
 
@@ -176,11 +176,11 @@
             self._start()
             return
         if _contains_status_line(self._reason, self._headers):
-            # Cut short in its head, it took the rest of the head from the response behind it.
-            self._error = "the head runs on into another one"
+            # The head was truncated, and the parser read the head of the next response as its rest.
+            self._error = "the head contains the status line of another response"
             return
         if not _is_coding_supported(self._headers):
-            self._error = "another transfer coding than chunked"
+            self._error = "the only supported transfer coding is chunked"
             return
         self._keep_alive = self._framing is not Framing.CLOSE and self._parser.should_keep_alive()
         headers = strip_hop_by_hop(self._headers)
@@ -218,7 +218,7 @@
 
 
 def _is_coding_supported(headers):
-    # The parser undoes chunked and no other coding.
+    # The parser decodes no transfer coding other than chunked.
     codings = [value.strip().lower() for name, value in headers if name == b"transfer-encoding"]
     return codings in ([], [b"chunked"])
 
--- a/packages/node/src/camphorshelf_node/steps.py
+++ b/packages/node/src/camphorshelf_node/steps.py
@@ -10,12 +10,12 @@
 
 
 def run_steps(steps, platform, on_done):
-    """Run a procedure to its end.
+    """Run a procedure until it returns.
 
     :param steps: a generator of the core package's ``confirm`` module.
     :param platform: the node's :class:`~camphorshelf_node.platform.Platform`.
-    :param on_done: takes what the procedure returns, or a refusal when the platform holds
-        bytes that cannot be read.
+    :param on_done: called with what the procedure returns, or with a refusal when the platform
+        returns data that cannot be decoded.
     :return: None.
     """
 
--- a/packages/node/src/camphorshelf_node/streams.py
+++ b/packages/node/src/camphorshelf_node/streams.py
@@ -1,4 +1,4 @@
-"""Non-blocking TCP connections on the node's loop."""
+"""Non-blocking TCP connections and listeners on the node's loop."""
 
 import errno
 import socket
@@ -14,7 +14,7 @@
 
 
 class Stream:
-    """A TCP connection that writes at once where it can and keeps the rest."""
+    """A TCP connection that buffers data which can't be written at once."""
 
     def __init__(self, loop, sock):
         self._loop = loop
@@ -28,22 +28,22 @@
         self.on_close = None
         self.on_connect = None
         self.on_drain = None
-        # Whether the peer ended its sending in order, not by a reset or an error.
+        # Whether the peer ended the connection in order, not by a reset or an error.
         self.ended_cleanly = False
 
     @property
     def closed(self):
-        """Whether the connection is gone."""
+        """Whether the connection is closed."""
         return self._sock is None
 
     @property
     def unsent(self):
-        """How many bytes the peer has not taken yet."""
+        """The number of bytes in the write buffer."""
         return len(self._unsent)
 
     @property
     def stale(self):
-        """Whether the peer has closed the connection or sent bytes that were not read yet."""
+        """Whether the peer has closed the connection or sent data that has not been read yet."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -53,16 +53,16 @@
         return True
 
     def open(self):
-        """Start to read.
+        """Start reading.
 
         :return: None.
         """
         self._watch()
 
     def connect(self, address):
-        """Start to connect; ``on_connect`` or ``on_close`` tells how it went.
+        """Start connecting; calls ``on_connect`` or, if it fails, ``on_close``.
 
-        :param address: the pair of IP and port.
+        :param address: the pair of IP address and port.
         :return: None.
         """
         self._connecting = True
@@ -73,7 +73,7 @@
         self._loop.watch(self._sock.fileno(), WRITABLE, self._on_ready)
 
     def write(self, data):
-        """Send bytes, now or as soon as the peer takes them.
+        """Send bytes, now or as soon as the socket accepts them.
 
         :param data: the bytes.
         :return: None.
@@ -89,21 +89,21 @@
             self._watch()
 
     def pause(self):
-        """Stop reading, so that the peer's sending comes to a halt.
+        """Stop reading, so that TCP flow control stops the peer.
 
         :return: None.
         """
         self._set_reading(False)
 
     def resume(self):
-        """Read again.
+        """Resume reading.
 
         :return: None.
         """
         self._set_reading(True)
 
     def close_when_sent(self):
-        """Close after the last byte has gone out and the peer has had time to read it.
+        """Close after the last byte has been sent and the peer has had time to read it.
 
         :return: None.
         """
@@ -117,7 +117,7 @@
             self._linger()
 
     def close(self):
-        """Close at once and tell ``on_close``.
+        """Close at once and call ``on_close``.
 
         :return: None.
         """
@@ -136,10 +136,10 @@
                 self._watch()
 
     def _linger(self):
-        # Closing while the peer still sends makes the kernel answer with a reset, which can
-        # overtake the bytes just sent: the caller of a refused upload would see a broken
-        # connection and not its refusal. So only the sending half is closed, and what still
-        # comes is dropped until the peer closes or the time is up.
+        # If the socket is closed while the peer still sends, the kernel responds with a reset, and
+        # the peer may discard data that it has not read: the caller of a refused upload would see
+        # a broken connection and not its refusal. So only the sending half is closed, and received
+        # data is dropped until the peer closes or the linger time has passed.
         if self._lingering:
             return
         self._lingering = True
@@ -215,9 +215,10 @@
     """Open a connection to an address.
 
     :param loop: the node's loop.
-    :param address: the pair of IP and port.
-    :param silence_s: how long the peer's host may leave bytes or keep-alive probes unacknowledged
-        before the connection counts as gone; None for the kernel's many minutes.
+    :param address: the pair of IP address and port.
+    :param tcp_timeout_s: seconds for which the peer's host may leave data or keep-alive probes
+        unacknowledged before the connection is closed; None for the kernel's default, which is
+        many minutes.
     :return: the :class:`Stream`, not yet connected.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
@@ -227,12 +228,12 @@
 
 
 def listen(loop, address, on_accept, tcp_timeout_s=None):
-    """Take connections on an address.
+    """Accept connections on an address.
 
     :param loop: the node's loop.
-    :param address: the pair of IP and port.
-    :param on_accept: takes each new :class:`Stream` and the address it comes from.
-    :param silence_s: as in :func:`dial`.
+    :param address: the pair of IP address and port.
+    :param on_accept: called with each new :class:`Stream` and the peer's address.
+    :param tcp_timeout_s: as in :func:`dial`.
     :return: a function that closes the listening socket.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
@@ -240,7 +241,7 @@
     listener.setblocking(False)
 
     def accept(_mask):
-        # Several in one turn, so that a burst of new connections does not wait one turn each.
+        # Several in one iteration of the loop, so that a burst of connections doesn't wait long.
         for _ in range(_MAX_ACCEPTS_PER_TURN):
             try:
                 sock, peer = listener.accept()
@@ -251,8 +252,8 @@
             on_accept(Stream(loop, _prepare(sock, tcp_timeout_s)), peer)
 
     def pause_accepting():
-        # Without a descriptor to spare the listener stays readable, and the loop would spin on
-        # it at a full core; the waiting connections are taken when some have been closed.
+        # Without free file descriptors the listener stays readable, and the loop would use a whole
+        # core. The waiting connections are accepted once others have been closed.
         loop.unwatch(listener.fileno())
         loop.call_later(_ACCEPT_PAUSE_SECONDS, start)
 
@@ -278,8 +279,8 @@
 
 
 def _set_tcp_timeout(sock, seconds):
-    # A connection across a cut or to a frozen host hangs without a reset, and everything sent
-    # over it waits: TCP alone would take a quarter of an hour to say so.
+    # A connection over a broken network or to a frozen host hangs without a reset, and everything
+    # sent over it waits. By default TCP gives it up only after a quarter of an hour.
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
--- a/packages/node/src/camphorshelf_node/versionguard.py
+++ b/packages/node/src/camphorshelf_node/versionguard.py
@@ -1,10 +1,10 @@
-"""Keeps calls away while the configuration is not proved, and lets its version ride on answers."""
+"""Refuses calls while the configuration is not proved, and adds its version to answers."""
 
 from camphorshelf_core.messages import RefusedMessage
 
 
 def make_configuration_filter(configuration):
-    """Make the filter that refuses callers while the configuration may be an older one.
+    """Make the filter that refuses calls while the configuration may be outdated.
 
     :param configuration: the node's :class:`~camphorshelf_node.config.Configuration`.
     :return: the filter.
@@ -21,15 +21,16 @@
 
 
 def guard_calls(handle, admission_controller, configuration):
-    """Wrap the handler of peers' calls in the same check.
+    """Wrap the handler of peers' calls with the same check.
 
-    A woken or fresh node may not know yet that its own target is leaving; an entry node that
-    does not know either would get new work through this door.
+    A node that has just started or resumed may not know yet that its own target is leaving.
+    Without the check, an entry node that does not know either could send it new calls.
 
     :param handle: the handler of :class:`~camphorshelf_core.messages.CallMessage`.
-    :param gatekeeper: the node's :class:`~camphorshelf_node.gatekeeper.Gatekeeper`.
+    :param admission_controller: the node's
+        :class:`~camphorshelf_node.admissioncontroller.AdmissionController`.
     :param configuration: the node's :class:`~camphorshelf_node.config.Configuration`.
-    :return: the guarded handler.
+    :return: the wrapped handler.
     """
 
     def guarded(message, reply):
@@ -41,7 +42,9 @@
         if refusal is None:
             return handle(message, stamp)
         code, reason, ran, retry_after_ms = refusal
-        refused = RefusedMessage(0, int(code), reason, ran.value, retry_after_ms, admission_controller.load)
+        refused = RefusedMessage(
+            0, int(code), reason, ran.value, retry_after_ms, admission_controller.load
+        )
         stamp(refused)
         return None
 
@@ -49,9 +52,9 @@
 
 
 def make_call_id_filter(incarnation):
-    """Make the filter that gives each call an id, by which operators can ask about it.
+    """Make the filter that gives each call an id, by which operators can look it up.
 
-    :param incarnation: the node's own, so that no other node gives the same ids.
+    :param incarnation: the node's incarnation, which makes the ids unique among all nodes.
     :return: the filter.
     """
     count = 0
