--- a/packages/node/src/camphorshelf_node/dispatch.py
+++ b/packages/node/src/camphorshelf_node/dispatch.py
@@ -18,9 +18,9 @@
 class Dispatcher:
     """Dispatches exchanges that passed the filters.
 
-    An exchange is an :class:`~camphorshelf_node.exchange.Exchange` or a
-    :class:`~camphorshelf_node.keyedcall.KeyedCall`. Either its ``answer`` or its ``refuse`` is
-    called, once, with the final outcome.
+    An exchange is any object with ``request``, ``service``, ``deadline``, ``answer``, ``refuse``
+    and ``set_disconnect_handler``, such as an :class:`~camphorshelf_node.exchange.Exchange`.
+    Either ``answer`` or ``refuse`` is called, once, with the final outcome.
     """
 
     def __init__(
