--- a/bench/state.py
+++ b/bench/state.py
@@ -19,7 +19,7 @@
 from camphorshelf_core.roster import Announcement, Entry, Member, MemberState  # noqa: E402
 from camphorshelf_core.settings import ClaimSettings, LimitSettings  # noqa: E402
 from camphorshelf_core.tickets import TicketStore  # noqa: E402
-from camphorshelf_node.explain import Decisions  # noqa: E402
+from camphorshelf_node.decisions import DecisionLog  # noqa: E402
 from camphorshelf_node.http import HttpConnection  # noqa: E402
 from standins.fakes import FakeLoop, FakeStream  # noqa: E402
 
@@ -101,10 +101,10 @@
 
 
 def _make_decisions(count):
-    decisions = Decisions(count)
+    decisions = DecisionLog(count)
     for number in range(count):
         fields = {"call": f"0123456789abcdef-{number}", "service": "orders", "target": "host-1"}
-        decisions.note("route", fields)
+        decisions.record("route", fields)
     return decisions
 
 
--- a/packages/cli/src/camphorshelf_cli/client.py
+++ b/packages/cli/src/camphorshelf_cli/client.py
@@ -14,14 +14,14 @@
 _TIMEOUT_SECONDS = 20.0
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """What the node answered."""
 
     status: int
     document: dict
 
 
-def find_node(node):
+def node_address(node):
     """Tell which node to ask.
 
     :param node: what the command line said, or None.
@@ -42,7 +42,7 @@
         return file.read().strip()
 
 
-def ask(node, method, path, document=None) -> Result[Answer, str]:
+def send_request(node, method, path, document=None) -> Result[Response, str]:
     """Send one request.
 
     :param node: ``IP:PORT`` of the node's administration listener.
@@ -62,7 +62,7 @@
         connection = http.client.HTTPConnection(node, timeout=_TIMEOUT_SECONDS)
         connection.request(method, path, body, headers)
         response = connection.getresponse()
-        return Success(Answer(response.status, json.loads(response.read())))
+        return Success(Response(response.status, json.loads(response.read())))
     except ConnectionRefusedError:
         return Failure(f"no node listens for operators at {node}")
     except TimeoutError:
--- a/packages/cli/src/camphorshelf_cli/commands.py
+++ b/packages/cli/src/camphorshelf_cli/commands.py
@@ -12,7 +12,7 @@
 
 from camphorshelf_core.settings import read_settings
 
-from .client import ask, find_node
+from .client import node_address, send_request
 from .logs import find_hops, render_hops
 from .tables import render_explanation, render_history, render_plan, render_status
 
@@ -41,8 +41,8 @@
         :param node: which node to ask.
         :param json: print JSON for programs.
         """
-        wishes = _read_file(file) if file is not None else [_read_intent(one) for one in intents]
-        _show("POST", "/v1/plans", node, json, render_plan, {"intents": wishes})
+        updates = _read_file(file) if file is not None else [_parse_intent(one) for one in intents]
+        _request_and_print("POST", "/v1/plans", node, json, render_plan, {"intents": updates})
 
     def show(self, plan, node=None, json=False):
         """Show a stored plan.
@@ -51,7 +51,7 @@
         :param node: which node to ask.
         :param json: print JSON for programs.
         """
-        _show("GET", f"/v1/plans/{_quoted(plan)}", node, json, render_plan)
+        _request_and_print("GET", f"/v1/plans/{_quote_segment(plan)}", node, json, render_plan)
 
     def confirm(self, plan, node=None, json=False):
         """Put a plan in force; may be repeated.
@@ -60,8 +60,10 @@
         :param node: which node to ask.
         :param json: print JSON for programs.
         """
-        path = f"/v1/plans/{_quoted(plan)}/confirm"
-        _show("POST", path, node, json, lambda one: f"version {one['version']} is in force")
+        path = f"/v1/plans/{_quote_segment(plan)}/confirm"
+        _request_and_print(
+            "POST", path, node, json, lambda one: f"version {one['version']} is in force"
+        )
 
     def status(self, node=None, json=False):
         """Show the targets of the team's services and what is wanted of them.
@@ -69,7 +71,7 @@
         :param node: which node to ask.
         :param json: print JSON for programs.
         """
-        _show("GET", "/v1/status", node, json, render_status)
+        _request_and_print("GET", "/v1/status", node, json, render_status)
 
     def history(self, limit=20, node=None, json=False):
         """Show the newest confirmed versions.
@@ -78,7 +80,9 @@
         :param node: which node to ask.
         :param json: print JSON for programs.
         """
-        _show("GET", f"/v1/history?limit={_quoted(limit)}", node, json, render_history)
+        _request_and_print(
+            "GET", f"/v1/history?limit={_quote_segment(limit)}", node, json, render_history
+        )
 
     def explain(self, call, node=None, json=False, logs=None):
         """Show why a call went where it did.
@@ -92,7 +96,9 @@
         if logs is not None:
             _explain_from_logs(str(call), logs, json)
             return
-        _show("GET", f"/v1/explain/{_quoted(call)}", node, json, render_explanation)
+        _request_and_print(
+            "GET", f"/v1/explain/{_quote_segment(call)}", node, json, render_explanation
+        )
 
     def check(self, path):
         """Check a settings file.
@@ -101,7 +107,7 @@
         """
         result = read_settings(path)
         if not isinstance(result, Success):
-            _end(EXIT_BAD_USAGE, result.failure())
+            _exit_with(EXIT_BAD_USAGE, result.failure())
         print(f"{path}: good")
 
     def token(self):
@@ -118,14 +124,14 @@
 def _explain_from_logs(request, pattern, as_json):
     hops = find_hops(request, pattern)
     if not hops:
-        _end(EXIT_NOT_FOUND, f"no line of {request} in {pattern}")
+        _exit_with(EXIT_NOT_FOUND, f"no line of {request} in {pattern}")
     print(json.dumps([hop._asdict() for hop in hops], indent=2) if as_json else render_hops(hops))
 
 
-def _show(method, path, node, as_json, render, document=None):
-    result = ask(find_node(node), method, path, document)
+def _request_and_print(method, path, node, as_json, render, document=None):
+    result = send_request(node_address(node), method, path, document)
     if not isinstance(result, Success):
-        _end(EXIT_NO_CONNECTION, result.failure())
+        _exit_with(EXIT_NO_CONNECTION, result.failure())
     answer = result.unwrap()
     refused = "code" in answer.document
     if as_json:
@@ -133,11 +139,11 @@
     elif not refused:
         print(render(answer.document))
     if refused:
-        _explain_refusal(answer.document, as_json)
+        _print_refusal(answer.document, as_json)
         sys.exit(answer.document["code"] - _EXIT_BASE)
 
 
-def _explain_refusal(document, as_json):
+def _print_refusal(document, as_json):
     print(f"{document['code']} {document['name']}: {document['error']}", file=sys.stderr)
     if not as_json and document.get("fresh_plan"):
         print("the same changes on the version now in force:", file=sys.stderr)
@@ -149,52 +155,54 @@
         with open(path, encoding="utf-8") as file:
             document = json5.loads(file.read())
     except OSError as error:
-        _end(EXIT_BAD_USAGE, f"{path}: {error.strerror}")
+        _exit_with(EXIT_BAD_USAGE, f"{path}: {error.strerror}")
     except ValueError as error:
-        _end(EXIT_BAD_USAGE, f"{path}: not JSON with comments: {error}")
+        _exit_with(EXIT_BAD_USAGE, f"{path}: not JSON with comments: {error}")
     return document.get("intents") if isinstance(document, dict) else document
 
 
 _STATES = frozenset({"take", "leave"})
-_FLAGS = {"yes": True, "no": False}
-_NUMBERS = frozenset({"weight", "share"})
+_BOOLEANS = {"yes": True, "no": False}
+_NUMBER_FIELDS = frozenset({"weight", "share"})
 
 
-def _read_intent(text):
+def _parse_intent(text):
     """Turn one intent of the command line into the form of the API."""
-    subject, *words = str(text).split()
-    service, slash, target = subject.partition("/")
+    resource, *parts = str(text).split()
+    service, slash, target = resource.partition("/")
     intent = {"service": service}
     if slash:
         intent["target"] = target
-    for word in words:
-        intent.update(_read_word(word, text))
+    for part in parts:
+        intent.update(_parse_part(part, text))
     return intent
 
 
-def _read_word(word, text):
-    key, equals, value = word.partition("=")
-    if word in _STATES:
-        return {"state": word}
-    if word.startswith("domain:"):
-        return {"domain": word.removeprefix("domain:")}
-    if word.startswith("caller:"):
-        return {"caller": word.removeprefix("caller:")}
+def _parse_part(part, text):
+    key, equals, value = part.partition("=")
+    if part in _STATES:
+        return {"state": part}
+    if part.startswith("domain:"):
+        return {"domain": part.removeprefix("domain:")}
+    if part.startswith("caller:"):
+        return {"caller": part.removeprefix("caller:")}
     if not equals:
-        if not word.isupper():
-            _end(EXIT_BAD_USAGE, f"{text!r}: {word!r} is not understood; see camphorshelf plan -h")
-        return {"method": word}
-    if key in _NUMBERS and value.isdigit():
+        if not part.isupper():
+            _exit_with(
+                EXIT_BAD_USAGE, f"{text!r}: {part!r} is not understood; see camphorshelf plan -h"
+            )
+        return {"method": part}
+    if key in _NUMBER_FIELDS and value.isdigit():
         return {key: int(value)}
     if key == "idempotent":
-        return {key: _FLAGS.get(value, value)}
+        return {key: _BOOLEANS.get(value, value)}
     return {"request_class" if key == "class" else key: value}
 
 
-def _quoted(value):
+def _quote_segment(value):
     return quote(str(value), safe="")
 
 
-def _end(code, text):
+def _exit_with(code, text):
     print(text, file=sys.stderr)
     sys.exit(code)
--- a/packages/cli/src/camphorshelf_cli/logs.py
+++ b/packages/cli/src/camphorshelf_cli/logs.py
@@ -14,8 +14,8 @@
     "repeat": 2,
     "hedge": 2,
 }
-_AT_ENTRY, _LAST = 2, 3
-_SHOWN_APART = frozenset({"time", "host", "event", "request"})
+_ENTRY_STAGE, _LAST_STAGE = 2, 3
+_OMITTED_FIELDS = frozenset({"time", "host", "event", "request"})
 
 
 class Hop(NamedTuple):
@@ -44,16 +44,16 @@
     :return: a list of :class:`Hop`.
     """
     hops = [hop for path in sorted(glob(pattern)) for hop in _read_hops(path, request)]
-    entry = {hop.host for hop in hops if _stage(hop) >= _AT_ENTRY}
-    own = [hop for hop in hops if _stage(hop) >= _AT_ENTRY]
-    others = [hop for hop in hops if _stage(hop) < _AT_ENTRY]
+    entry_hosts = {hop.host for hop in hops if _stage(hop) >= _ENTRY_STAGE}
+    entry_hops = [hop for hop in hops if _stage(hop) >= _ENTRY_STAGE]
+    target_hops = [hop for hop in hops if _stage(hop) < _ENTRY_STAGE]
     ordered = []
-    for hop in sorted(own, key=lambda one: (_stage(one) == _LAST, one.time)):
-        results = [one for one in others if _belongs(one, hop, entry)]
+    for hop in sorted(entry_hops, key=lambda one: (_stage(one) == _LAST_STAGE, one.time)):
+        results = [one for one in target_hops if _precedes(one, hop, entry_hosts)]
         for result in results:
-            others.remove(result)
+            target_hops.remove(result)
         ordered += [*results, hop]
-    return [*ordered, *others]
+    return [*ordered, *target_hops]
 
 
 def render_hops(hops):
@@ -64,21 +64,21 @@
     """
     lines = []
     for number, hop in enumerate(hops, 1):
-        words = " ".join(f"{name}={value}" for name, value in hop.fields.items())
-        lines.append(f"{number:2}  {hop.host:20} {hop.event:12} {words}")
+        text = " ".join(f"{name}={value}" for name, value in hop.fields.items())
+        lines.append(f"{number:2}  {hop.host:20} {hop.event:12} {text}")
     return "\n".join(lines)
 
 
-def _belongs(result, hop, entry):
+def _precedes(result, hop, entry_hosts):
     # A decline answers the earliest result left; the last line takes all that are left.
-    if _stage(hop) == _LAST:
+    if _stage(hop) == _LAST_STAGE:
         return True
     code = hop.fields.get("code")
     return code is not None and result.fields.get("code") == code and result.event != "run_ended"
 
 
 def _stage(hop):
-    return _STAGES.get(hop.event, _LAST)
+    return _STAGES.get(hop.event, _LAST_STAGE)
 
 
 def _read_hops(path, request):
@@ -88,8 +88,8 @@
                 continue
             fields = _read_line(line)
             if fields is not None and fields.get("request") == request:
-                rest = {key: value for key, value in fields.items() if key not in _SHOWN_APART}
-                yield Hop(fields["host"], fields["event"], rest, fields["time"])
+                shown = {key: value for key, value in fields.items() if key not in _OMITTED_FIELDS}
+                yield Hop(fields["host"], fields["event"], shown, fields["time"])
 
 
 def _read_line(line):
--- a/packages/cli/src/camphorshelf_cli/tables.py
+++ b/packages/cli/src/camphorshelf_cli/tables.py
@@ -10,9 +10,9 @@
     :param rows: tuples of values.
     :return: the lines as one text.
     """
-    cells = [tuple(header), *[tuple(_cell(value) for value in row) for row in rows]]
+    cells = [tuple(header), *[tuple(_format_cell(value) for value in row) for row in rows]]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
-    return "\n".join(_line(row, widths) for row in cells)
+    return "\n".join(_render_row(row, widths) for row in cells)
 
 
 def render_plan(document):
@@ -50,8 +50,8 @@
         for target in service["targets"]
     ]
     header = ("SERVICE", "OWNER", "TARGET", "STATE", "WEIGHT", "BUSY", "SLOTS", "DOMAIN")
-    force = "in force" if document["in_force"] else f"NOT IN FORCE: {document['reason']}"
-    title = f"node {document['node']}: configuration {document['version']}, {force}"
+    state_text = "in force" if document["in_force"] else f"NOT IN FORCE: {document['reason']}"
+    title = f"node {document['node']}: configuration {document['version']}, {state_text}"
     return f"{title}\n{render_table(header, rows)}"
 
 
@@ -64,13 +64,19 @@
     header = ("VERSION", "PLANNED", "BY", "SERVICE", "CHANGE", "BEFORE", "AFTER")
     rows = []
     for version in document["versions"]:
-        start = (version["version"], _moment(version["planned_at"]), version["planned_by"] or "-")
+        prefix = (
+            version["version"],
+            _format_time(version["planned_at"]),
+            version["planned_by"] or "-",
+        )
         for change in version["changes"]:
-            what = f"{change['field']} {change['name']}".strip()
-            rows.append((*start, change["service"], what, change["before"], change["after"]))
+            change_text = f"{change['field']} {change['name']}".strip()
+            rows.append(
+                (*prefix, change["service"], change_text, change["before"], change["after"])
+            )
         if version["hidden_changes"]:
-            hidden = f"{version['hidden_changes']} of other teams"
-            rows.append((*start, "-", hidden, "", ""))
+            hidden_text = f"{version['hidden_changes']} of other teams"
+            rows.append((*prefix, "-", hidden_text, "", ""))
     return render_table(header, rows)
 
 
@@ -84,18 +90,18 @@
     for decision in document["decisions"]:
         fields = {key: value for key, value in decision.items() if key not in ("at", "kind")}
         reasons = " ".join(f"{key}={value}" for key, value in fields.items())
-        lines.append(f"  {_moment(decision['at'])} {decision['kind']}: {reasons}")
+        lines.append(f"  {_format_time(decision['at'])} {decision['kind']}: {reasons}")
     return "\n".join(lines)
 
 
-def _moment(seconds):
+def _format_time(seconds):
     return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(seconds))
 
 
-def _cell(value):
+def _format_cell(value):
     return "-" if value is None else str(value)
 
 
-def _line(row, widths):
+def _render_row(row, widths):
     cells = [cell.ljust(width) for cell, width in zip(row, widths, strict=True)]
     return "  ".join(cells).rstrip()
--- a/packages/node/src/camphorshelf_node/__init__.py
+++ b/packages/node/src/camphorshelf_node/__init__.py
@@ -1,1 +1,1 @@
-"""The camphorshelf process beside each target."""
+"""The node: the camphorshelf process that runs on each target's host."""
--- a/packages/node/src/camphorshelf_node/__main__.py
+++ b/packages/node/src/camphorshelf_node/__main__.py
@@ -1,4 +1,4 @@
-"""Lets ``python -m camphorshelf_node`` start a node."""
+"""Starts a node for ``python -m camphorshelf_node``."""
 
 from .main import main
 
--- a/packages/node/src/camphorshelf_node/admin.py
+++ b/packages/node/src/camphorshelf_node/admin.py
@@ -1,4 +1,4 @@
-"""The administration listener, served by circuits.web."""
+"""The HTTP server of the administration API, built on circuits.web."""
 
 import json
 from ipaddress import ip_address
@@ -19,9 +19,9 @@
 
 
 class AnnounceRequest(NamedTuple):
-    """An announcement as a target posts it.
+    """The body of a target's ``POST /announce``.
 
-    ``instance`` names the target's process; a changed one tells that it was restarted.
+    ``instance`` identifies the target's process: a new value means that it was restarted.
     """
 
     service: str
@@ -35,7 +35,7 @@
 
 
 class AdminRequest(NamedTuple):
-    """One request as the handlers of the administration API see it."""
+    """A request, as it is passed to the handlers of the administration API."""
 
     method: str
     path: str
@@ -46,7 +46,7 @@
 
 
 class AdminServer(BaseServer):
-    """Takes announcements, answers health checks and hands on what operators ask."""
+    """Handles announcements and health checks, and passes operators' requests on."""
 
     channel = "admin"
 
@@ -64,16 +64,16 @@
             ("GET", "/healthz"): self._health,
             ("GET", "/readyz"): self._ready,
             ("GET", "/entry"): self._entry,
-            ("GET", "/metrics"): self._tell_metrics,
+            ("GET", "/metrics"): self._render_metrics,
         }
 
     @handler("ready", override=True)
     def _on_ready(self, server, bind):
-        """Keep the library's banner off standard error."""
+        """Override the library's handler, which writes a banner to standard error."""
 
     @handler("signal", override=True)
     def _on_signal(self, *args):
-        """Leave signals to the node."""
+        """Override the library's handler: the node handles signals."""
 
     @handler("request", priority=1)
     def _on_request(self, event, request, response):
@@ -84,16 +84,18 @@
             if finished or not self._guard.is_open(request.sock):
                 return
             finished.append(True)
-            _fill(response, status, document)
+            _fill_response(response, status, document)
             self.fire(response_event(response))
 
         try:
             self._route(_read_request(request, self._own_ip), reply)
         except Exception as error:
-            # The library would answer with the traceback, which tells a stranger about the
-            # node's insides; the traceback belongs in the node's own log.
+            # The library would send the traceback in its response and expose internals of the
+            # node to any client; the traceback is written to the node's log instead.
             self._on_fault(error)
-            reply_refusal(reply, Refusal(Code.ADMIN_FAILED, "the request failed in the node"))
+            reply_refusal(
+                reply, Refusal(Code.ADMIN_FAILED, "the node failed to process the request")
+            )
         return True
 
     def _route(self, request, reply):
@@ -103,35 +105,38 @@
         else:
             self._operators.handle(request, reply)
 
-    def _is_own_target(self, request, reply):
+    def _require_loopback(self, request, reply):
         if not request.from_loopback:
-            reason = "a target announces itself to the node on its own host"
+            reason = "targets may only send this request to the node on their own host"
             reply_refusal(reply, Refusal(Code.NOT_FROM_LOOPBACK, reason))
         return request.from_loopback
 
     def _announce(self, request, reply):
-        if not self._is_own_target(request, reply):
+        if not self._require_loopback(request, reply):
             return
         try:
             *fields, instance, leaving = _ANNOUNCEMENT.validate_python(json.loads(request.body))
         except (ValueError, ValidationError) as error:
-            reply_refusal(reply, Refusal(Code.BAD_ANNOUNCEMENT, _first_line(error)))
+            reply_refusal(reply, Refusal(Code.BAD_ANNOUNCEMENT, _describe_error(error)))
             return
         self._node.announce(Announcement(*fields), instance, leaving)
-        reply(200, self._tell_phase())
+        reply(200, self._describe_phase())
 
     def _leave(self, request, reply):
-        if self._is_own_target(request, reply):
-            self._node.gatekeeper.set_leaving(True, Source.TARGET)
-            reply(200, self._tell_phase())
+        if self._require_loopback(request, reply):
+            self._node.admission_controller.set_leaving(True, Source.TARGET)
+            reply(200, self._describe_phase())
 
     def _stay(self, request, reply):
-        if self._is_own_target(request, reply):
-            self._node.gatekeeper.set_leaving(False, Source.TARGET)
-            reply(200, self._tell_phase())
-
-    def _tell_phase(self):
-        return {"node": self._node.settings.name, "state": self._node.gatekeeper.phase.value}
+        if self._require_loopback(request, reply):
+            self._node.admission_controller.set_leaving(False, Source.TARGET)
+            reply(200, self._describe_phase())
+
+    def _describe_phase(self):
+        return {
+            "node": self._node.settings.name,
+            "state": self._node.admission_controller.phase.value,
+        }
 
     def _health(self, request, reply):
         reply(200, {"status": "up"})
@@ -139,7 +144,7 @@
     def _entry(self, _request, reply):
         reply(200, self._node.entry_counts)
 
-    def _tell_metrics(self, _request, reply):
+    def _render_metrics(self, _request, reply):
         reply(200, self._node.metrics.render())
 
     def _ready(self, request, reply):
@@ -151,7 +156,7 @@
 
 
 def _read_request(request, own_ip):
-    # A connection from the listener's own address comes from this host as well.
+    # A connection from the listener's own address also comes from this host.
     remote = ip_address(request.remote.ip.split("%")[0])
     scheme, _, token = request.headers.get("Authorization", "").partition(" ")
     return AdminRequest(
@@ -164,7 +169,7 @@
     )
 
 
-def _fill(response, status, document):
+def _fill_response(response, status, document):
     response.status = status
     response.close = True
     if isinstance(document, str):
@@ -179,8 +184,8 @@
     response.body = json.dumps(document)
 
 
-def _first_line(error):
+def _describe_error(error):
     if isinstance(error, ValidationError):
-        problem = error.errors()[0]
-        return f"{'.'.join(str(part) for part in problem['loc'])}: {problem['msg']}"
-    return f"not JSON: {error}"
+        first_error = error.errors()[0]
+        return f"{'.'.join(str(part) for part in first_error['loc'])}: {first_error['msg']}"
+    return f"the body is not JSON: {error}"
--- a/packages/node/src/camphorshelf_node/adminguard.py
+++ b/packages/node/src/camphorshelf_node/adminguard.py
@@ -1,9 +1,9 @@
-"""Checks what arrives at the administration listener before circuits.web sees it.
+"""Validates requests to the administration listener before circuits.web parses them.
 
-The library reads Content-Length with a bare ``int()``, has no bound on heads, bodies or time,
-keeps what it has of a request when its sender goes away, and answers pipelined requests in any
-order. So a strict parser reads along, and only one whole, bounded request of each connection is
-handed on.
+The library parses Content-Length with a bare ``int()``, limits neither the size of heads and bodies
+nor the time to receive them, keeps a partial request after its client has disconnected, and answers
+pipelined requests in any order. So a strict parser reads the data first, and only one complete
+request of limited size per connection is passed on.
 """
 
 import httptools
@@ -18,7 +18,7 @@
 
 
 class AdminGuard(BaseComponent):
-    """Stands before the HTTP component of the administration server."""
+    """Filters the events of the administration server's HTTP component."""
 
     channel = "admin"
 
@@ -27,32 +27,36 @@
         self._loop = loop
         self._settings = settings
         self._http = http
-        self._senders = {}
+        self._connections = {}
 
     def is_open(self, sock):
-        """Tell whether a connection is still there to be answered.
+        """Return whether a connection is still open.
 
-        :param sock: its socket.
-        :return: True or False.
+        :param sock: the connection's socket.
+        :return: True if a response can be sent on it.
         """
-        return sock in self._senders
+        return sock in self._connections
 
     @handler("connect", priority=10)
     def _on_connect(self, sock, *_args):
-        if len(self._senders) >= self._settings.connections:
-            self._refuse(sock, Code.ADMIN_BUSY, "too many connections")
+        if len(self._connections) >= self._settings.connections:
+            self._refuse(
+                sock,
+                Code.ADMIN_BUSY,
+                f"too many connections; at most {self._settings.connections} may be open",
+            )
             return
-        wait = self._settings.request_timeout_ms / 1000
-        timer = self._loop.call_later(wait, lambda: self._on_timeout(sock))
-        self._senders[sock] = _Sender(self._settings.request_bytes, timer)
+        timeout = self._settings.request_timeout_ms / 1000
+        timer = self._loop.call_later(timeout, lambda: self._on_timeout(sock))
+        self._connections[sock] = _GuardedConnection(self._settings.request_bytes, timer)
 
     @handler("disconnect", priority=10)
     def _on_disconnect(self, sock):
-        sender = self._senders.pop(sock, None)
-        if sender is not None:
-            sender.timer.cancel()
-        # The library forgets a connection's parser only with a whole request; without this a
-        # sender that stops half way leaves its parser and bytes behind for ever.
+        connection = self._connections.pop(sock, None)
+        if connection is not None:
+            connection.timer.cancel()
+        # The library removes a connection's parser only after a complete request. Without this,
+        # a client that disconnects in the middle would leak its parser and its data.
         self._http._buffers.pop(sock, None)
         self._http._clients.pop(sock, None)
 
@@ -61,23 +65,23 @@
         if getattr(event, "checked", False):
             return
         event.stop()
-        sender = self._senders.get(sock)
-        if sender is None or sender.refused:
+        connection = self._connections.get(sock)
+        if connection is None or connection.is_refused:
             return
-        if sender.whole:
+        if connection.is_complete:
             self.fire(close(sock))
             return
-        fault = sender.feed(data)
-        if fault is not None:
-            sender.refused = True
-            self._refuse(sock, *fault)
-        elif sender.whole:
-            passed = read(sock, bytes(sender.data))
-            passed.checked = True
-            self.fire(passed)
+        error = connection.feed(data)
+        if error is not None:
+            connection.is_refused = True
+            self._refuse(sock, *error)
+        elif connection.is_complete:
+            checked_read = read(sock, bytes(connection.data))
+            checked_read.checked = True
+            self.fire(checked_read)
 
     def _on_timeout(self, sock):
-        if sock in self._senders:
+        if sock in self._connections:
             self.fire(close(sock))
 
     def _refuse(self, sock, code, reason):
@@ -85,8 +89,8 @@
         self.fire(close(sock))
 
 
-class _Sender:
-    """One connection and the one request it may send."""
+class _GuardedConnection:
+    """A connection, and the only request that may be sent on it."""
 
     def __init__(self, max_bytes, timer):
         self._max_bytes = max_bytes
@@ -95,19 +99,19 @@
         self._names = []
         self.timer = timer
         self.data = bytearray()
-        self.whole = False
-        self.refused = False
+        self.is_complete = False
+        self.is_refused = False
 
     def feed(self, data):
-        """Read bytes; give a code and a reason when they are not acceptable."""
+        """Parse received data; return a code and a reason if it is refused, otherwise None."""
         self.data += data
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            return Code.MALFORMED_REQUEST, "not a valid request"
+            return Code.MALFORMED_REQUEST, "the request is not valid HTTP"
         head_bytes = len(self.data) if self._in_head else self.data.find(b"\r\n\r\n")
         if head_bytes > _MAX_HEAD_BYTES or len(self.data) > _MAX_HEAD_BYTES + self._max_bytes:
-            return Code.REQUEST_TOO_LARGE, "the request is larger than allowed"
+            return Code.REQUEST_TOO_LARGE, "the request's head or body is larger than allowed"
         if not self._in_head:
             return self._check_head()
         return None
@@ -117,17 +121,17 @@
             if self._names.count(name) > 1:
                 return Code.MALFORMED_REQUEST, f"more than one {name.decode()} header"
         if b"host" not in self._names or b"transfer-encoding" in self._names:
-            return Code.MALFORMED_REQUEST, "Host is required and chunks are not taken"
+            return Code.MALFORMED_REQUEST, "Host is required and Transfer-Encoding is not supported"
         return None
 
     def on_header(self, name, _value):
-        """Called by the parser with one header."""
+        """Handle the parser's event for a header."""
         self._names.append(name.lower())
 
     def on_headers_complete(self):
-        """Called by the parser at the end of the head."""
+        """Handle the parser's event for the end of the head."""
         self._in_head = False
 
     def on_message_complete(self):
-        """Called by the parser at the end of the request."""
-        self.whole = True
+        """Handle the parser's event for the end of the request."""
+        self.is_complete = True
--- a/packages/node/src/camphorshelf_node/calling.py
+++ b/packages/node/src/camphorshelf_node/calling.py
@@ -114,7 +114,7 @@
             others=chosen.others_in_flight,
             age=chosen.report_age,
             longest_wait_ms=longest_wait_ms,
-            version=self._dispatcher.configuration.held.version,
+            version=self._dispatcher.configuration.local_version.version,
         )
 
     def make_message(self, target, longest_wait_ms):
@@ -189,7 +189,7 @@
         # evidence in its headers the next target's node would let it in like any other.
         if not isinstance(result, Refusal) or result.code is not Code.TARGET_CRASHED:
             return False
-        refused = self._dispatcher.quarantine.note_blamed(self._exchange, attempt.target)
+        refused = self._dispatcher.quarantine.record_blamed(self._exchange, attempt.target)
         self._headers = _passed_on(self._exchange.request.headers)
         return refused
 
@@ -289,36 +289,36 @@
         dispatcher, candidate = self._dispatcher, self._candidate
         self._calling.on_attempt_started(self)
         self._sent_at = dispatcher.loop.now()
-        dispatcher.keeper.note_sent(candidate.target)
+        dispatcher.keeper.record_sent(candidate.target)
         message = self._calling.make_message(candidate.target, longest_wait_ms)
         guard = self._calling.guard
         if candidate.address == dispatcher.settings.listen.peers:
             cancel = dispatcher.gatekeeper.run(message, guard(self._on_result))
         else:
             link = dispatcher.link(candidate.address)
-            dispatcher.configuration.ride_on(link, candidate.address)
+            dispatcher.configuration.announce_version(link, candidate.address)
             cancel = link.call(message, guard(self._on_message))
         self._cancel = cancel
 
     def cancel(self):
         if not self._done:
             self._settle(given_up_ms=self.elapsed_ms)
-            self._dispatcher.keeper.note_done(self.target, None)
+            self._dispatcher.keeper.record_done(self.target, None)
             self._cancel()
 
     def is_suspect(self, typical_ms):
         keeper = self._dispatcher.keeper
-        self._overdue = keeper.is_suspect(self.target, self._sent_at, typical_ms)
+        self._overdue = keeper.record_overdue(self.target, self._sent_at, typical_ms)
         return self._overdue
 
     def _settle(self, given_up_ms=None):
         self._done = True
         if self._overdue:
-            self._dispatcher.keeper.note_overdue_done(self.target, given_up_ms)
+            self._dispatcher.keeper.record_overdue_done(self.target, given_up_ms)
 
     def note_missed(self, refusal):
         if is_target_fault(refusal):
-            self._dispatcher.keeper.note_outcome(self._service, self.target, True)
+            self._dispatcher.keeper.record_outcome(self._service, self.target, True)
 
     def _on_message(self, message):
         if isinstance(message, Refusal):
@@ -339,12 +339,12 @@
         keeper = self._dispatcher.keeper
         if load is not None:
             configuration = self._dispatcher.configuration
-            configuration.hear_from(self._candidate.address, load.config_version)
+            configuration.observe_peer_version(self._candidate.address, load.config_version)
         failed = is_target_fault(result)
         good = isinstance(result, Response) and not failed
-        keeper.note_done(self.target, load, self.elapsed_ms if good else None)
+        keeper.record_done(self.target, load, self.elapsed_ms if good else None)
         if failed or good:
-            ejected = keeper.note_outcome(self._service, self.target, failed)
+            ejected = keeper.record_outcome(self._service, self.target, failed)
             if ejected:
                 self._dispatcher.log.decision("eject", service=self._service, target=self.target)
         self._calling.on_attempt_done(self, result)
--- a/packages/node/src/camphorshelf_node/explain.py
+++ b/packages/node/src/camphorshelf_node/decisions.py
@@ -13,23 +13,23 @@
     fields: dict
 
 
-class Decisions:
+class DecisionLog:
     """The newest decisions in a ring of fixed size, so that its memory is bounded."""
 
     def __init__(self, limit):
-        self._ring = deque(maxlen=limit)
+        self._decisions = deque(maxlen=limit)
 
     def __len__(self):
-        return len(self._ring)
+        return len(self._decisions)
 
-    def note(self, kind, fields):
+    def record(self, kind, fields):
         """Keep a decision in place of the oldest one.
 
         :param kind: what was decided.
         :param fields: its reasons.
         :return: None.
         """
-        self._ring.append(Decision(time.time(), kind, fields))
+        self._decisions.append(Decision(time.time(), kind, fields))
 
     def find(self, call):
         """Find the decisions about a call.
@@ -37,4 +37,4 @@
         :param call: the id that its answer carried.
         :return: a list of :class:`Decision`, oldest first.
         """
-        return [one for one in self._ring if one.fields.get("call") == call]
+        return [decision for decision in self._decisions if decision.fields.get("call") == call]
--- a/packages/node/src/camphorshelf_node/dispatch.py
+++ b/packages/node/src/camphorshelf_node/dispatch.py
@@ -82,7 +82,7 @@
         choice = self._choose(candidates, exclude)
         if choice is None:
             # None of those drawn takes work; before the call is refused, all are asked.
-            choice = self._choose(self.keeper.survey(service), exclude)
+            choice = self._choose(self.keeper.all_candidates(service), exclude)
         if not self.is_baseline:
             self.sensing.probe_one(candidates)
         return choice
--- a/packages/node/src/camphorshelf_node/gatekeeper.py
+++ b/packages/node/src/camphorshelf_node/gatekeeper.py
@@ -9,7 +9,7 @@
 from camphorshelf_core.settings import split_address
 from camphorshelf_core.spill import can_start_within
 
-from .crashes import CrashWatch
+from .crashes import CrashDetector
 from .drain import Drainer
 from .httpclient import HttpClient
 from .work import Work
@@ -30,7 +30,7 @@
         parts = POLICIES[settings.gate.policy]
         self._gate = Gate(0, random, parts, settings.gate.team_weights)
         self._lane = SuspectLimiter()
-        self._crashes = CrashWatch(loop, quarantine)
+        self._crashes = CrashDetector(loop, quarantine)
         self._drainer = Drainer(loop, settings.drain, self)
         self._client = None
         self._expiry = None
@@ -117,7 +117,7 @@
         if self.target is None or self.target.service != call.service:
             work.refuse(Refusal(Code.NO_TARGET, "no such target beside this node"))
             return work.cancel
-        standing, name = self._quarantine.judge(call)
+        standing, name = self._quarantine.check_call(call)
         if standing is Standing.REFUSED:
             work.refuse(self._quarantine.refusal(name))
         elif self._gate.closed is None and not can_start_within(self.load, call.longest_wait_ms):
@@ -202,7 +202,7 @@
         :return: None.
         """
         if work.suspect is not None:
-            self._quarantine.note_clean(work.suspect, work.started_at)
+            self._quarantine.record_completed(work.suspect, work.started_at)
 
     @property
     def crashes(self):
@@ -245,7 +245,7 @@
 
     def _offer_suspect(self, work):
         if not work.done:
-            standing, name = self._quarantine.judge(work.call)
+            standing, name = self._quarantine.check_call(work.call)
             if standing is Standing.REFUSED:
                 work.refuse(self._quarantine.refusal(name))
             else:
--- a/packages/node/src/camphorshelf_node/gossip.py
+++ b/packages/node/src/camphorshelf_node/gossip.py
@@ -13,8 +13,8 @@
 from .loop import READABLE
 
 _TICK_SECONDS = 0.1
-_MAX_DATAGRAM = 65_535
-_DATAGRAMS_PER_TURN = 32
+_MAX_DATAGRAM_BYTES = 65_535
+_MAX_DATAGRAMS_PER_READ = 32
 
 
 class Gossip:
@@ -156,9 +156,9 @@
         self._send(self._membership.tick(self._loop.now()))
 
     def _on_readable(self, _mask):
-        for _ in range(_DATAGRAMS_PER_TURN):
+        for _ in range(_MAX_DATAGRAMS_PER_READ):
             try:
-                data, address = self._socket.recvfrom(_MAX_DATAGRAM)
+                data, address = self._socket.recvfrom(_MAX_DATAGRAM_BYTES)
             except OSError:
                 return
             self.received_bytes += len(data)
@@ -171,11 +171,11 @@
             if handler is not None:
                 handler(message, address)
                 return
-            sends = self._membership.receive(message, address, self._loop.now())
+            datagrams = self._membership.receive(message, address, self._loop.now())
         except ProtocolError:
             self.bad_datagrams += 1
             return
-        self._send(sends)
+        self._send(datagrams)
 
     def _send(self, datagrams):
         if self._socket is None:
--- a/packages/node/src/camphorshelf_node/join.py
+++ b/packages/node/src/camphorshelf_node/join.py
@@ -20,8 +20,8 @@
 from .links import PeerLink
 
 PARTITION = "roster"
-_SNAPSHOT_SECONDS = 2.0
-_INTRODUCTIONS = 3
+_SNAPSHOT_TIMEOUT_SECONDS = 2.0
+_MAX_PINGED_CONTACTS = 3
 
 
 class Join:
@@ -53,8 +53,8 @@
         :return: None.
         """
         self.write_row()
-        self._look()
-        self._plan_poll()
+        self._find_contacts()
+        self._schedule_poll()
 
     def write_row(self):
         """Write this node's row, so that starting nodes find it.
@@ -75,17 +75,17 @@
 
     def _on_written(self, outcome):
         if outcome is None:
-            self._loop.call_later(self._next_retry(), self.write_row)
+            self._loop.call_later(self._next_retry_delay(), self.write_row)
 
-    def _next_retry(self):
+    def _next_retry_delay(self):
         self._failures += 1
         return retry_seconds(self._failures, self._random)
 
-    def _look(self):
+    def _find_contacts(self):
         if not self._joined:
-            self._query(self._on_rows)
+            self._query_rows(self._on_rows)
 
-    def _query(self, on_rows):
+    def _query_rows(self, on_rows):
         start_after = random_row_key(self._random)
         self._platform.query(PARTITION, on_rows, limit=CONTACT_ROWS, start_after=start_after)
 
@@ -99,16 +99,16 @@
             return
         contacts = sorted(addresses)
         self._random.shuffle(contacts)
-        self._try(contacts)
+        self._request_snapshot(contacts)
 
-    def _try(self, contacts):
+    def _request_snapshot(self, contacts):
         if not contacts:
-            self._loop.call_later(self._next_retry(), self._look)
+            self._loop.call_later(self._next_retry_delay(), self._find_contacts)
             return
-        _SnapshotQuestion(
-            self._loop, contacts[0], self._on_snapshot, lambda: self._try(contacts[1:])
+        _SnapshotRequest(
+            self._loop, contacts[0], self._on_snapshot, lambda: self._request_snapshot(contacts[1:])
         )
-        for address in contacts[:_INTRODUCTIONS]:
+        for address in contacts[:_MAX_PINGED_CONTACTS]:
             self._gossip.ping_address(address)
 
     def _on_snapshot(self, snapshot, address):
@@ -119,14 +119,14 @@
         self._joined = True
         self._log.info(f"joined: {reason}")
 
-    def _plan_poll(self):
+    def _schedule_poll(self):
         members = self._gossip.membership.replica.member_count
         self._loop.call_later(poll_seconds(members, self._random), self._poll)
 
     def _poll(self):
         """Read a few rows, so that two groups that started apart find each other."""
-        self._plan_poll()
-        self._query(self._on_polled)
+        self._schedule_poll()
+        self._query_rows(self._on_polled)
         key = row_key(self._gossip.membership.own.node)
         self._platform.get(PARTITION, key, self._on_own_row)
 
@@ -149,8 +149,8 @@
 
 
 def _read_rows(rows):
-    read = (_read_row(data) for data in (rows or {}).values())
-    return [row for row in read if row is not None]
+    decoded = (_read_row(data) for data in (rows or {}).values())
+    return [row for row in decoded if row is not None]
 
 
 def _read_row(data):
@@ -161,16 +161,16 @@
         return None
 
 
-class _SnapshotQuestion:
+class _SnapshotRequest:
     def __init__(self, loop, address, on_snapshot, on_failure):
         self._address = address
         self._on_snapshot = on_snapshot
         self._on_failure = on_failure
-        self._timer = loop.call_later(_SNAPSHOT_SECONDS, self._give_up)
+        self._timer = loop.call_later(_SNAPSHOT_TIMEOUT_SECONDS, self._on_timeout)
         self._link = PeerLink(loop, split_address(address))
         self._link.call(SnapshotRequestMessage(0), self._on_answer)
 
-    def _give_up(self):
+    def _on_timeout(self):
         self._link.close()
 
     def _on_answer(self, answer):
--- a/packages/node/src/camphorshelf_node/load.py
+++ b/packages/node/src/camphorshelf_node/load.py
@@ -9,25 +9,25 @@
 from camphorshelf_core.subset import choose_subset, subset_size
 
 # Members heard of this soon after the node's own start were there before it: they are not cold.
-_ACQUAINTANCE_SECONDS = 5.0
+_STARTUP_SECONDS = 5.0
 _FULL_WEIGHT = 100
 # Beside those looked at for a call, to make up for some that take no work.
-_SPARE_CANDIDATES = 4
+_EXTRA_CANDIDATES = 4
 
 
-class LoadKeeper:
+class LoadTracker:
     """Own calls in flight, reports with their age, health and weights, by target."""
 
-    def __init__(self, loop, settings, roster, configuration, gossip, leavers, random):
+    def __init__(self, loop, settings, roster, configuration, gossip, leaving_targets, random):
         self._loop = loop
         self._settings = settings
         self._roster = roster
         self._configuration = configuration
         self._gossip = gossip
-        self._leavers = leavers
+        self._leaving_targets = leaving_targets
         self._random = random
         self._views = {}
-        self._health = {}
+        self._detectors = {}
         self._weights = {}
         self._joined_at = {}
         self._subsets = {}
@@ -38,7 +38,7 @@
     @property
     def ejections(self):
         """How often a target was ejected."""
-        return sum(health.ejections for health in self._health.values())
+        return sum(detector.ejections for detector in self._detectors.values())
 
     def candidates(self, service):
         """List targets of a service with what is known of them: those used, or some at random.
@@ -47,26 +47,28 @@
         :return: a list of :class:`Candidate`.
         """
         now = self._loop.now()
-        health = self._health_of(service)
+        detector = self._detector(service)
         settings = self._settings
         # Putting a candidate together takes 5 us and more; for a whole subset that would be a
         # good part of what a call may be held up in all.
-        count = settings.entry.choices + _SPARE_CANDIDATES
-        drawn = sample_targets(self._subset(service), settings.failure_domain, count, self._random)
-        return [self._candidate(member, health, now) for member in drawn]
+        count = settings.entry.choices + _EXTRA_CANDIDATES
+        sampled = sample_targets(
+            self._subset(service), settings.failure_domain, count, self._random
+        )
+        return [self._candidate(member, detector, now) for member in sampled]
 
-    def survey(self, service):
+    def all_candidates(self, service):
         """List all targets of a service, also those that this node does not use.
 
         :param service: its name.
         :return: a list of :class:`Candidate`.
         """
         now = self._loop.now()
-        health = self._health_of(service)
+        detector = self._detector(service)
         members = self._roster.members(service)
-        return [self._candidate(member, health, now) for member in members]
+        return [self._candidate(member, detector, now) for member in members]
 
-    def take_configuration(self):
+    def apply_weights(self):
         """Take the weights of the version in force; targets left out have the full weight.
 
         :return: None.
@@ -83,12 +85,12 @@
     def _set_weights(self, weights):
         now = self._loop.now()
         for target in self._weights.keys() | weights.keys():
-            wanted = weights.get(target, 1.0)
+            new_weight = weights.get(target, 1.0)
             if target not in self._weights:
                 self._weights[target] = ShiftingWeight(1.0, now)
-            self._weights[target].move_to(wanted, now)
+            self._weights[target].move_to(new_weight, now)
 
-    def note_sent(self, target):
+    def record_sent(self, target):
         """Count a call on its way to a target.
 
         :param target: the target's name.
@@ -96,7 +98,7 @@
         """
         self._view(target).record_sent()
 
-    def note_done(self, target, load, latency_ms=None):
+    def record_done(self, target, load, latency_ms=None):
         """Count a call as done.
 
         :param target: the target's name.
@@ -110,14 +112,14 @@
             return
         now = self._loop.now()
         view.record_report(load, now)
-        self._leavers.note_report(target, load)
+        self._leaving_targets.record_report(target, load)
         if latency_ms is None:
             return
         view.record_answer(latency_ms, now)
         if load.queued == 0:
             view.record_latency(latency_ms, now)
 
-    def is_suspect(self, target, sent_at, typical_ms):
+    def record_overdue(self, target, sent_at, typical_ms):
         """Tell whether a call that is overdue speaks against its target, and remember it.
 
         :param target: the target's name.
@@ -131,7 +133,7 @@
         view.record_overdue(1)
         return True
 
-    def note_overdue_done(self, target, given_up_ms):
+    def record_overdue_done(self, target, given_up_ms):
         """Take note that a call that was overdue has ended.
 
         :param target: the target's name.
@@ -143,7 +145,7 @@
         if given_up_ms is not None:
             view.record_slow(given_up_ms, self._loop.now())
 
-    def note_report(self, target, load):
+    def record_report(self, target, load):
         """Take in the report that answers a probe.
 
         :param target: the target's name.
@@ -151,9 +153,9 @@
         :return: None.
         """
         self._view(target).record_report(load, self._loop.now())
-        self._leavers.note_report(target, load)
+        self._leaving_targets.record_report(target, load)
 
-    def note_outcome(self, service, target, failed):
+    def record_outcome(self, service, target, failed):
         """Take in whether a call's outcome speaks against its target.
 
         :param service: the service's name.
@@ -162,13 +164,13 @@
         :return: whether the target was ejected by this.
         """
         names = [member.node for member in self._subset(service)]
-        return self._health_of(service).record(target, failed, names, self._loop.now())
+        return self._detector(service).record(target, failed, names, self._loop.now())
 
-    def _candidate(self, member, health, now):
+    def _candidate(self, member, detector, now):
         name = member.node
         view = self._view(name)
         report = view.report
-        own = view.own_latency(now)
+        own_latency = view.own_latency(now)
         return Candidate(
             target=name,
             address=member.address,
@@ -179,43 +181,43 @@
             reported=report.in_flight + report.queued if report else 0,
             report_age=view.report_age(now),
             reported_latency_ms=report.latency_ms if report else None,
-            own_latency_ms=own[0] if own else None,
-            own_latency_age=own[1] if own else 0.0,
+            own_latency_ms=own_latency[0] if own_latency else None,
+            own_latency_age=own_latency[1] if own_latency else 0.0,
             overdue=view.overdue,
-            failure_share=health.failure_share(name, now),
-            weight=self._weight(name, now) * health.return_share(name, now),
+            failure_share=detector.failure_share(name, now),
+            weight=self._weight(name, now) * detector.return_share(name, now),
             leaving=self._is_leaving(member),
-            ejected=health.update(name, now),
+            ejected=detector.update(name, now),
         )
 
     def _is_leaving(self, member):
         service, domain = member.target.service, member.failure_domain
         if self._configuration.is_leaving(service, member.node, domain):
             return True
-        return self._leavers.is_leaving(member.node)
+        return self._leaving_targets.is_leaving(member.node)
 
     def _weight(self, target, now):
         weight = self._weights.get(target)
-        share = ramp_share(self._joined_at.get(target), now)
-        return share if weight is None else share * weight.value(now)
+        ramp = ramp_share(self._joined_at.get(target), now)
+        return ramp if weight is None else ramp * weight.value(now)
 
     def _subset(self, service):
-        chosen = self._subsets.get(service)
-        if chosen is None:
+        subset = self._subsets.get(service)
+        if subset is None:
             members = self._roster.members(service)
             entry = self._settings.entry
             nodes = len(self._gossip.membership.members())
             size = subset_size(entry.subset, len(members), nodes, entry.link_limit)
             settings = self._settings
-            chosen = choose_subset(settings.name, settings.failure_domain, members, size)
-            self._subsets[service] = chosen
-        return chosen
+            subset = choose_subset(settings.name, settings.failure_domain, members, size)
+            self._subsets[service] = subset
+        return subset
 
-    def _health_of(self, service):
-        health = self._health.get(service)
-        if health is None:
-            health = self._health[service] = OutlierDetector(self._random)
-        return health
+    def _detector(self, service):
+        detector = self._detectors.get(service)
+        if detector is None:
+            detector = self._detectors[service] = OutlierDetector(self._random)
+        return detector
 
     def _view(self, target):
         view = self._views.get(target)
@@ -225,17 +227,17 @@
 
     def _on_member(self, old, new):
         self._subsets.clear()
-        known = old is not None and old.in_use and old.generation == new.generation
+        is_known = old is not None and old.in_use and old.generation == new.generation
         if not new.in_use or new.target is None:
             return
-        if known and old.target == new.target:
+        if is_known and old.target == new.target:
             return
         # A replaced host starts anew: its forerunner's clock, load and health say nothing of it.
         # Calls that are still counted at the forerunner keep the view until they are done.
         view = self._views.get(new.node)
         if view is not None and not view.own_in_flight:
             del self._views[new.node]
-        self._health_of(new.target.service).forget(new.node)
+        self._detector(new.target.service).forget(new.node)
         now = self._loop.now()
-        if now - self._started_at > _ACQUAINTANCE_SECONDS:
+        if now - self._started_at > _STARTUP_SECONDS:
             self._joined_at[new.node] = now
--- a/packages/node/src/camphorshelf_node/log.py
+++ b/packages/node/src/camphorshelf_node/log.py
@@ -11,19 +11,19 @@
 
 FORMAT = "{record.message}"
 _FLUSH_SECONDS = 0.25
-_MAX_NOTED = 5_000
+_MAX_BUFFERED_LINES = 5_000
 
 
 class Log:
     """Writes structured lines of ``key=value`` through logbook."""
 
-    def __init__(self, name, loop=None, level="INFO", note_decision=None):
+    def __init__(self, name, loop=None, level="INFO", record_decision=None):
         self._logger = logbook.Logger(name, level=logbook.lookup_level(level))
         self._name = name
         self._loop = loop
-        self._note_decision = note_decision
-        self._noted = []
-        self._decides = self._logger.level <= logbook.INFO
+        self._record_decision = record_decision
+        self._buffered = []
+        self._is_info_enabled = self._logger.level <= logbook.INFO
 
     def decision(self, kind, **fields):
         """Note the line of a routing or placement decision.
@@ -32,10 +32,10 @@
         :param fields: the reasons.
         :return: None.
         """
-        if self._note_decision is not None:
-            self._note_decision(kind, fields)
-        if self._decides:
-            self._note("info", kind, fields)
+        if self._record_decision is not None:
+            self._record_decision(kind, fields)
+        if self._is_info_enabled:
+            self._append("info", kind, fields)
 
     def info(self, text):
         """Write a line about the node itself.
@@ -43,8 +43,8 @@
         :param text: one sentence.
         :return: None.
         """
-        if self._decides:
-            self._note("info", "node", {"text": repr(text)})
+        if self._is_info_enabled:
+            self._append("info", "node", {"text": repr(text)})
             self.flush()
 
     def fault(self, error):
@@ -64,21 +64,21 @@
 
         :return: None.
         """
-        noted, self._noted = self._noted, []
-        if noted:
-            lines = [_format(when, level, self._name, *rest) for when, level, *rest in noted]
+        buffered, self._buffered = self._buffered, []
+        if buffered:
+            lines = [_format(at, level, self._name, *rest) for at, level, *rest in buffered]
             self._logger.info("\n".join(lines))
 
-    def _note(self, level, kind, fields):
-        noted = self._noted
-        noted.append((time.time(), level, kind, fields))
-        if self._loop is None or len(noted) >= _MAX_NOTED:
+    def _append(self, level, kind, fields):
+        buffered = self._buffered
+        buffered.append((time.time(), level, kind, fields))
+        if self._loop is None or len(buffered) >= _MAX_BUFFERED_LINES:
             self.flush()
-        elif len(noted) == 1:
+        elif len(buffered) == 1:
             self._loop.call_later(_FLUSH_SECONDS, self.flush)
 
 
-def _format(when, level, name, kind, fields):
-    moment = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(when))
-    start = f"time={moment}.{int(when % 1 * 1000):03d}Z level={level} node={name} event={kind}"
-    return " ".join([start, *[f"{key}={value}" for key, value in fields.items()]])
+def _format(at, level, name, kind, fields):
+    timestamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(at))
+    prefix = f"time={timestamp}.{int(at % 1 * 1000):03d}Z level={level} node={name} event={kind}"
+    return " ".join([prefix, *[f"{key}={value}" for key, value in fields.items()]])
--- a/packages/node/src/camphorshelf_node/metrics.py
+++ b/packages/node/src/camphorshelf_node/metrics.py
@@ -16,9 +16,9 @@
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 _WINDOW_SECONDS = 30.0
 _QUANTILES = (0.5, 0.9, 0.99)
-_MICROSECONDS = 1_000_000
-_LONGEST_MICROSECONDS = 3_600 * _MICROSECONDS
-_DIGITS = 2
+_MICROSECONDS_PER_SECOND = 1_000_000
+_MAX_DURATION_MICROSECONDS = 3_600 * _MICROSECONDS_PER_SECOND
+_SIGNIFICANT_DIGITS = 2
 
 
 class Metrics:
@@ -47,7 +47,7 @@
         )
         loop.call_every(_WINDOW_SECONDS, self._rotate)
 
-    def note_answer(self, exchange, code):
+    def record_answer(self, exchange, code):
         """Count a call that was answered.
 
         :param exchange: the :class:`~camphorshelf_node.exchange.Exchange`.
@@ -55,10 +55,10 @@
         :return: None.
         """
         self._calls[exchange.service, int(code)] += 1
-        spent = int((self._loop.now() - exchange.received) * _MICROSECONDS)
-        self._durations.record_value(max(1, spent))
+        duration = int((self._loop.now() - exchange.received) * _MICROSECONDS_PER_SECOND)
+        self._durations.record_value(max(1, duration))
 
-    def watch(self, name, description, read):
+    def add_gauge(self, name, description, read_value):
         """Tell a number that changes both ways.
 
         :param name: its name behind ``camphorshelf.``.
@@ -68,7 +68,7 @@
         """
         self._meter.create_observable_gauge(
             f"camphorshelf.{name}",
-            [lambda _options: [Observation(read())]],
+            [lambda _options: [Observation(read_value())]],
             description=description,
         )
 
@@ -91,12 +91,12 @@
             yield Observation(count, {"service": service or "", "code": str(code)})
 
     def _observe_durations(self, _options):
-        both = _make_histogram()
-        both.add(self._last_durations)
+        merged = _make_histogram()
+        merged.add(self._last_durations)
         if self._durations is not self._last_durations:
-            both.add(self._durations)
+            merged.add(self._durations)
         for quantile in _QUANTILES:
-            milliseconds = both.get_value_at_percentile(quantile * 100) / 1000
+            milliseconds = merged.get_value_at_percentile(quantile * 100) / 1000
             yield Observation(milliseconds, {"quantile": str(quantile)})
 
     def _rotate(self):
@@ -104,4 +104,4 @@
 
 
 def _make_histogram():
-    return HdrHistogram(1, _LONGEST_MICROSECONDS, _DIGITS)
+    return HdrHistogram(1, _MAX_DURATION_MICROSECONDS, _SIGNIFICANT_DIGITS)
--- a/packages/node/src/camphorshelf_node/node.py
+++ b/packages/node/src/camphorshelf_node/node.py
@@ -22,8 +22,8 @@
 from .admin import AdminServer
 from .claims import Claims, keyed_filter
 from .config import Configuration
+from .decisions import DecisionLog
 from .dispatch import Dispatcher
-from .explain import Decisions
 from .filters import (
     make_caller_filter,
     make_chain,
@@ -33,10 +33,10 @@
 from .gatekeeper import Gatekeeper
 from .gossip import Gossip
 from .join import Join
-from .leavers import Leavers
+from .leavingtargets import LeavingTargets
 from .links import make_call_handler
 from .listeners import CallerListener, PeerListener, drain
-from .load import LoadKeeper
+from .load import LoadTracker
 from .log import Log
 from .loop import Loop
 from .metrics import Metrics
@@ -46,12 +46,12 @@
 from .quarantine import QuarantineController
 from .roster import Roster
 from .sensing import ProbeController
-from .tickets import TicketDesk, TicketEntry
+from .tickets import TicketForwarder, TicketRunner
 from .versionguard import guard_calls, make_call_id_filter, make_configuration_filter
 
 _INCARNATION_BYTES = 8
 _SECRET_BYTES = 16
-_ENTRY_COUNTS = {
+_ENTRY_COUNT_DESCRIPTIONS = {
     "spills": "Calls that went on from a full target to another.",
     "retries": "Calls that were tried again after a failure.",
     "hedges": "Lookups that were asked of a second target as well.",
@@ -75,118 +75,122 @@
         self.settings = settings
         self.incarnation = os.urandom(_INCARNATION_BYTES).hex()
         self._loop = Loop().register(self)
-        self._decisions = Decisions(settings.administration.decisions_kept)
-        self._log = Log(settings.name, self._loop, log_level, self._decisions.note)
+        self._decisions = DecisionLog(settings.administration.decisions_kept)
+        self._log = Log(settings.name, self._loop, log_level, self._decisions.record)
         self._loop.on_error = self._log.fault
         self._metrics = Metrics(self._loop)
         self._platform = Platform(self._loop, settings.platform)
         self._gossip = Gossip(self._loop, settings, self.incarnation)
-        self._leavers = Leavers(self._loop, self._gossip, settings.name)
+        self._leaving_targets = LeavingTargets(self._loop, self._gossip, settings.name)
         self._configuration = Configuration(
             self._loop,
             settings,
             self.incarnation,
             self._platform,
             self._gossip,
-            lambda address: self._router.link(address),
+            lambda address: self._call_dispatcher.link(address),
             self._log,
         )
         self._roster = Roster(self._gossip)
         self._join = Join(self._loop, settings, self._gossip, self._platform, self._log)
         self._quarantine = QuarantineController(self._loop, settings, self._gossip, self._log)
-        self._gatekeeper = Gatekeeper(
+        self._admission_controller = Gatekeeper(
             self._loop, settings, self._log, random.Random(self.incarnation), self._quarantine
         )
-        self._gatekeeper.on_leaving = self._leavers.publish_own
+        self._admission_controller.on_leaving = self._leaving_targets.publish_own
         self._invariants = Invariants()
-        self._once = OnceGuard(self._loop, self._gatekeeper, AttemptRegistry(), self._invariants)
-        self._tickets = TicketStore(
+        self._at_most_once = OnceGuard(
+            self._loop, self._admission_controller, AttemptRegistry(), self._invariants
+        )
+        self._ticket_store = TicketStore(
             settings.claims,
             settings.name,
             self.incarnation,
             os.urandom(_SECRET_BYTES),
             self._invariants,
         )
-        self._desk = TicketDesk(self._loop, self._once, self._gatekeeper, self._tickets)
+        self._ticket_runner = TicketRunner(
+            self._loop, self._at_most_once, self._admission_controller, self._ticket_store
+        )
         self._peer_handlers = {
             CallMessage: guard_calls(
-                make_call_handler(self._desk, self._log.fault),
-                self._gatekeeper,
+                make_call_handler(self._ticket_runner, self._log.fault),
+                self._admission_controller,
                 self._configuration,
             ),
             VersionRequestMessage: self._configuration.answer_peer,
-            TicketsRequestMessage: self._desk.answer_mint,
+            TicketsRequestMessage: self._ticket_runner.answer_tickets_request,
             SnapshotRequestMessage: self._join.answer_snapshot,
         }
         self._stopping = False
-        chance = random.Random(self.incarnation)
-        keeper = LoadKeeper(
+        rng = random.Random(self.incarnation)
+        load_tracker = LoadTracker(
             self._loop,
             settings,
             self._roster,
             self._configuration,
             self._gossip,
-            self._leavers,
-            chance,
+            self._leaving_targets,
+            rng,
         )
         self._probes = ProbeController(
-            self._loop, settings, self._gossip, keeper, self._gatekeeper, chance
+            self._loop, settings, self._gossip, load_tracker, self._admission_controller, rng
         )
-        self._keeper = keeper
-        self._router = Dispatcher(
+        self._load_tracker = load_tracker
+        self._call_dispatcher = Dispatcher(
             self._loop,
             settings,
             self.incarnation,
-            keeper,
-            self._once,
+            load_tracker,
+            self._at_most_once,
             self._probes,
             self._quarantine,
             self._log,
-            chance,
+            rng,
             self._configuration,
         )
         self._claims = Claims(
             self._loop,
             settings,
             self._platform,
-            self._router,
+            self._call_dispatcher,
             self._gossip.membership.replica,
             self._invariants,
             random.Random(self.incarnation),
         )
-        tickets = TicketEntry(
+        ticket_forwarder = TicketForwarder(
             self._loop,
             settings,
-            self._router,
+            self._call_dispatcher,
             self._roster,
             self._gossip.membership.replica,
-            self._desk,
+            self._ticket_runner,
             random.Random(self.incarnation),
         )
-        self._peer_handlers[ClaimStatusRequestMessage] = self._claims.answer_ask
+        self._peer_handlers[ClaimStatusRequestMessage] = self._claims.answer_status_request
         filters = (
             make_call_id_filter(self.incarnation),
             keyed_filter,
             make_configuration_filter(self._configuration),
-            make_identity_filter(self._roster.knows),
+            make_identity_filter(self._roster.has_service),
             make_caller_filter(settings.gate),
             make_deadline_filter(settings.limits, self._loop),
-            tickets.filter,
+            ticket_forwarder.filter,
             self._claims.filter,
             self._quarantine.filter,
         )
-        handle = make_chain(filters, self._router.dispatch)
+        handle_request = make_chain(filters, self._call_dispatcher.dispatch)
         self._callers = CallerListener(
-            self._loop, settings, handle, self._log.fault, self._metrics.note_answer
+            self._loop, settings, handle_request, self._log.fault, self._metrics.record_answer
         )
         self._peers = PeerListener(self._loop, settings, self._peer_handlers)
-        self._watch_gauges()
+        self._add_gauges()
         operators = Operators(
             settings,
             self._configuration,
             self._platform,
             self._roster,
-            self._keeper,
+            self._load_tracker,
             self._decisions,
             self._quarantine,
         )
@@ -199,7 +203,7 @@
             self._log.fault,
         ).register(self)
         self._configuration.on_change(self._apply_configuration)
-        self._configuration.on_change(self._keeper.take_configuration)
+        self._configuration.on_change(self._load_tracker.apply_weights)
 
     @property
     def metrics(self):
@@ -228,25 +232,25 @@
     @property
     def entry_counts(self):
         """What the entry side of this node has counted, by name."""
-        sensing = self._probes.sensing
+        scheduler = self._probes.scheduler
         return {
-            **self._router.counts,
-            "ejections": self._keeper.ejections,
-            "probes": sensing.sent,
-            "probe_answers": sensing.answered,
-            "probe_bytes": sensing.spent_bytes,
-            "probe_microseconds": sensing.spent_microseconds,
-            "probes_denied": sensing.denied,
-            "probes_lost": sensing.lost,
+            **self._call_dispatcher.counts,
+            "ejections": self._load_tracker.ejections,
+            "probes": scheduler.sent,
+            "probe_answers": scheduler.answered,
+            "probe_bytes": scheduler.spent_bytes,
+            "probe_microseconds": scheduler.spent_microseconds,
+            "probes_denied": scheduler.denied,
+            "probes_lost": scheduler.lost,
         }
 
-    def _count(self, name):
+    def _entry_count(self, name):
         return self.entry_counts.get(name, 0)
 
     @property
     def gatekeeper(self):
         """The guard of the target beside this node."""
-        return self._gatekeeper
+        return self._admission_controller
 
     @property
     def quarantine(self):
@@ -261,19 +265,19 @@
         :param leaving: whether the target wants to leave, where it says so.
         :return: None.
         """
-        if self._gatekeeper.announce(target, instance, leaving):
+        if self._admission_controller.announce(target, instance, leaving):
             self._apply_configuration()
             self._gossip.change_own(target=target)
             self._join.write_row()
             self._log.info(f"target announced: {target.service} at {target.address}")
 
     def _apply_configuration(self):
-        target = self._gatekeeper.target
+        target = self._admission_controller.target
         if target is not None:
             leaving = self._configuration.is_leaving(
                 target.service, self.settings.name, self.settings.failure_domain
             )
-            self._gatekeeper.set_leaving(leaving)
+            self._admission_controller.set_leaving(leaving)
 
     @handler("started", channel="*")
     def _on_started(self, _manager):
@@ -292,41 +296,55 @@
         if self._stopping:
             os._exit(1)
         self._stopping = True
-        self._loop.interrupt(self._leave)
+        self._loop.interrupt(self._begin_stop)
 
-    def _leave(self):
+    def _begin_stop(self):
         self._log.info("stopping: no new callers, waiting for what is in flight")
         self._gossip.leave()
-        drain(self._loop, self._callers, self._peers, self._end)
+        drain(self._loop, self._callers, self._peers, self._finish_stop)
 
-    def _end(self):
+    def _finish_stop(self):
         self._log.info("stopped: nothing is in flight")
         self.stop()
 
-    def _watch_gauges(self):
-        watch = self._metrics.watch
-        for name, description in _ENTRY_COUNTS.items():
-            watch(f"entry.{name}", description, partial(self._count, name))
-        gatekeeper = self._gatekeeper
-        held = self._configuration.held
-        watch("config.version", "The configuration in force.", lambda: held.version)
-        watch("config.violations", "Versions that two bodies claim.", lambda: held.violations)
-        watch("config.rejected", "Bodies that were not what they claim.", lambda: held.rejected)
-        watch("callers", "Callers' connections.", lambda: self._callers.connections)
-        watch("peer.links", "Links that peers opened.", lambda: self._peers.links)
+    def _add_gauges(self):
+        add_gauge = self._metrics.add_gauge
+        for name, description in _ENTRY_COUNT_DESCRIPTIONS.items():
+            add_gauge(f"entry.{name}", description, partial(self._entry_count, name))
+        gatekeeper = self._admission_controller
+        local_version = self._configuration.local_version
+        add_gauge("config.version", "The configuration in force.", lambda: local_version.version)
+        add_gauge(
+            "config.violations", "Versions that two bodies claim.", lambda: local_version.violations
+        )
+        add_gauge(
+            "config.rejected",
+            "Bodies that were not what they claim.",
+            lambda: local_version.rejected,
+        )
+        add_gauge("callers", "Callers' connections.", lambda: self._callers.connections)
+        add_gauge("peer.links", "Links that peers opened.", lambda: self._peers.links)
         gossip, membership = self._gossip, self._gossip.membership
-        watch("gossip.sent_bytes", "Bytes sent to keep the roster.", lambda: gossip.sent_bytes)
-        watch("gossip.received_bytes", "The same, received.", lambda: gossip.received_bytes)
-        watch("gossip.dropped", "Datagrams over the budget.", lambda: membership.dropped_datagrams)
-        watch("roster.members", "Members in use.", lambda: len(membership.members()))
-        watch("roster.isolated", "1 while cut off from most.", lambda: int(membership.is_isolated))
-        watch("roster.superseded", "1 once replaced.", lambda: int(membership.superseded))
-        watch("target.in_flight", "Calls at the target.", lambda: gatekeeper.load.in_flight)
-        watch("target.queued", "Calls that wait for a slot.", lambda: gatekeeper.load.queued)
-        watch("target.slots", "Calls the target takes at once.", lambda: gatekeeper.load.slots)
-        claims, broken = self._claims, self._invariants
-        watch("claims.open", "Calls under keys under way.", lambda: claims.book.open_claims)
-        watch("claims.answers", "Answers kept for resends.", lambda: len(claims.book.answers))
-        watch("claims.marks", "Settled claims still to be marked.", lambda: claims.writer.marks)
-        watch("tickets", "Tickets remembered.", lambda: len(self._tickets))
-        watch("invariants.broken", "Broken invariants.", lambda: sum(broken.broken.values()))
+        add_gauge("gossip.sent_bytes", "Bytes sent to keep the roster.", lambda: gossip.sent_bytes)
+        add_gauge("gossip.received_bytes", "The same, received.", lambda: gossip.received_bytes)
+        add_gauge(
+            "gossip.dropped", "Datagrams over the budget.", lambda: membership.dropped_datagrams
+        )
+        add_gauge("roster.members", "Members in use.", lambda: len(membership.members()))
+        add_gauge(
+            "roster.isolated", "1 while cut off from most.", lambda: int(membership.is_isolated)
+        )
+        add_gauge("roster.superseded", "1 once replaced.", lambda: int(membership.superseded))
+        add_gauge("target.in_flight", "Calls at the target.", lambda: gatekeeper.load.in_flight)
+        add_gauge("target.queued", "Calls that wait for a slot.", lambda: gatekeeper.load.queued)
+        add_gauge("target.slots", "Calls the target takes at once.", lambda: gatekeeper.load.slots)
+        claims, invariants = self._claims, self._invariants
+        add_gauge("claims.open", "Calls under keys under way.", lambda: claims.tracker.open_claims)
+        add_gauge(
+            "claims.answers", "Answers kept for resends.", lambda: len(claims.tracker.answers)
+        )
+        add_gauge("claims.marks", "Settled claims still to be marked.", lambda: claims.writer.marks)
+        add_gauge("tickets", "Tickets remembered.", lambda: len(self._ticket_store))
+        add_gauge(
+            "invariants.broken", "Broken invariants.", lambda: sum(invariants.broken.values())
+        )
--- a/packages/node/src/camphorshelf_node/operators.py
+++ b/packages/node/src/camphorshelf_node/operators.py
@@ -28,12 +28,14 @@
 class Operators:
     """Answers requests that carry an operator's token; without one nothing is told."""
 
-    def __init__(self, settings, configuration, platform, roster, keeper, decisions, quarantine):
+    def __init__(
+        self, settings, configuration, platform, roster, load_tracker, decisions, quarantine
+    ):
         self._settings = settings
         self._configuration = configuration
         self._platform = platform
         self._roster = roster
-        self._keeper = keeper
+        self._load_tracker = load_tracker
         self._decisions = decisions
         self._quarantine = quarantine
         self._routes = {
@@ -78,7 +80,7 @@
         return self._routes.get(name), argument
 
     def _status(self, operator, _request, _argument, reply):
-        held = self._configuration.held
+        local_version = self._configuration.local_version
         refusal = self._configuration.find_refusal()
         names = {*self._roster.services(), *self._configuration.services}
         reply(
@@ -86,14 +88,14 @@
             {
                 "node": self._settings.name,
                 "failure_domain": self._settings.failure_domain,
-                "version": held.version,
-                "digest": held.digest,
+                "version": local_version.version,
+                "digest": local_version.digest,
                 "in_force": refusal is None,
                 "reason": None if refusal is None else refusal.reason,
                 "services": {
                     name: self._describe_service(name)
                     for name in sorted(names)
-                    if self._in_scope(operator, name)
+                    if self._can_see(operator, name)
                 },
             },
         )
@@ -101,7 +103,7 @@
     def _describe_service(self, name):
         config = self._configuration.services.get(name)
         intents = config.targets if config is not None else {}
-        candidates = {one.target: one for one in self._keeper.survey(name)}
+        candidates = {one.target: one for one in self._load_tracker.all_candidates(name)}
         return {
             "owner": config.owner if config is not None else "",
             "targets": [
@@ -110,7 +112,7 @@
             ],
         }
 
-    def _in_scope(self, operator, service):
+    def _can_see(self, operator, service):
         """Rivals share the platform: a team sees what it owns or may own, and no more."""
         config = self._configuration.services.get(service)
         if config is not None and config.owner:
@@ -121,21 +123,21 @@
         if argument:
             reply_refusal(reply, Refusal(Code.WRONG_METHOD, "a stored plan cannot be changed"))
             return
-        wishes = _read_intents(request.body)
-        if not isinstance(wishes, Success):
-            reply_refusal(reply, wishes.failure())
+        updates = _read_intents(request.body)
+        if not isinstance(updates, Success):
+            reply_refusal(reply, updates.failure())
             return
-        self._run_plan(operator, wishes.unwrap(), lambda result: _reply_plan(reply, result))
+        self._create_plan(operator, updates.unwrap(), lambda result: _reply_plan(reply, result))
 
-    def _run_plan(self, operator, wishes, on_done):
+    def _create_plan(self, operator, updates, on_done):
         targets = {
             service: {
                 one.target: TargetCapacity(one.slots, one.failure_domain)
-                for one in self._keeper.survey(service)
+                for one in self._load_tracker.all_candidates(service)
             }
-            for service in {wish.service for wish in wishes}
+            for service in {update.service for update in updates}
         }
-        steps = plan_steps(wishes, operator, targets, int(time.time()))
+        steps = plan_steps(updates, operator, targets, int(time.time()))
         run_steps(steps, self._platform, on_done)
 
     def _show_plan(self, operator, _request, digest, reply):
@@ -151,29 +153,29 @@
     def _confirm(self, operator, _request, digest, reply):
         def done(result):
             if not isinstance(result, Refusal):
-                self._configuration.confirm(result.head, result.body)
+                self._configuration.install_confirmed(result.head, result.body)
                 version = {"version": result.version, "digest": result.head.digest}
                 reply(200, {**version, "newest": result.head.version, "plan": digest})
             elif result.code is Code.CONFLICT:
-                self._plan_again(operator, digest, result, reply)
+                self._plan_on_newest(operator, digest, result, reply)
             else:
                 reply_refusal(reply, result, plan=digest)
 
         run_steps(confirm_steps(digest, operator), self._platform, done)
 
-    def _plan_again(self, operator, digest, conflict, reply):
+    def _plan_on_newest(self, operator, digest, conflict, reply):
         """Give the loser of a race what its changes would do to the winner's version."""
 
         def done(result):
-            fresh = describe_plan(result) if isinstance(result, StoredPlan) else None
-            reason = None if fresh is not None else result.reason
-            reply_refusal(reply, conflict, plan=digest, fresh_plan=fresh, no_fresh_plan=reason)
+            fresh_plan = describe_plan(result) if isinstance(result, StoredPlan) else None
+            reason = None if fresh_plan is not None else result.reason
+            reply_refusal(reply, conflict, plan=digest, fresh_plan=fresh_plan, no_fresh_plan=reason)
 
         def plan(result):
             if isinstance(result, Refusal):
                 done(result)
             else:
-                self._run_plan(operator, updates_from_changes(result.plan.changes), done)
+                self._create_plan(operator, updates_from_changes(result.plan.changes), done)
 
         run_steps(read_plan_steps(digest), self._platform, plan)
 
@@ -194,41 +196,41 @@
         run_steps(history_steps(int(limit)), self._platform, done)
 
     def _describe_version(self, operator, document):
-        seen = [one for one in document.changes if self._in_scope(operator, one.service)]
+        visible = [one for one in document.changes if self._can_see(operator, one.service)]
         if operator.team in document.confirmed_by:
-            seen = list(document.changes)
+            visible = list(document.changes)
         return {
             "version": document.version,
             "planned_at": document.planned_at,
-            "planned_by": document.planned_by if seen else None,
-            "confirmed_by": list(document.confirmed_by) if seen else [],
-            "plan": document.plan if seen else None,
-            "changes": [change._asdict() for change in seen],
-            "hidden_changes": len(document.changes) - len(seen),
+            "planned_by": document.planned_by if visible else None,
+            "confirmed_by": list(document.confirmed_by) if visible else [],
+            "plan": document.plan if visible else None,
+            "changes": [change._asdict() for change in visible],
+            "hidden_changes": len(document.changes) - len(visible),
         }
 
     def _explain(self, operator, _request, call, reply):
-        found = [
+        matching = [
             one
             for one in self._decisions.find(call)
-            if self._in_scope(operator, one.fields.get("service"))
+            if self._can_see(operator, one.fields.get("service"))
         ]
-        if not found:
+        if not matching:
             reason = "this node remembers no decision about such a call of your services"
             reply_refusal(reply, Refusal(Code.UNKNOWN_CALL, reason))
             return
-        decisions = [{"at": one.at, "kind": one.kind, **one.fields} for one in found]
+        decisions = [{"at": one.at, "kind": one.kind, **one.fields} for one in matching]
         reply(200, {"call": call, "node": self._settings.name, "decisions": decisions})
 
     def _list_quarantines(self, operator, _request, _argument, reply):
         rows = self._quarantine.list_entries()
-        seen = [row for row in rows if self._in_scope(operator, row["service"])]
-        reply(200, {"quarantines": seen})
+        visible = [row for row in rows if self._can_see(operator, row["service"])]
+        reply(200, {"quarantines": visible})
 
     def _lift_quarantine(self, operator, _request, entry, reply):
         rows = {row["id"]: row for row in self._quarantine.list_entries()}
         row = rows.get(entry)
-        if row is None or not self._in_scope(operator, row["service"]):
+        if row is None or not self._can_see(operator, row["service"]):
             reply_refusal(reply, Refusal(Code.UNKNOWN_QUARANTINE, "there is no such quarantine"))
             return
         self._quarantine.lift(entry)
--- a/packages/node/src/camphorshelf_node/platform.py
+++ b/packages/node/src/camphorshelf_node/platform.py
@@ -22,14 +22,14 @@
     read_answer,
     read_query,
     read_row,
-    read_written,
+    read_write_results,
 )
 
 _MAX_CONNECTIONS = 8
-_MAX_ANSWER = 16 * 1024 * 1024
-_VERSION = "DynamoDB_20120810"
+_MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+_TABLE_API_VERSION = "DynamoDB_20120810"
 # Reads and writes that nobody waits for leave half of the budget to those that somebody does.
-_BACKGROUND_SHARE = 0.5
+_BACKGROUND_RESERVE_SHARE = 0.5
 
 
 class Platform:
@@ -38,7 +38,7 @@
     def __init__(self, loop, settings):
         self._loop = loop
         self._settings = settings
-        self._timeout = settings.timeout_ms / 1000
+        self._timeout_s = settings.timeout_ms / 1000
         self._circuit = CircuitBreaker(random.Random())
         rate = settings.requests_per_second
         self._budget = TokenBucket(rate, rate, loop.now())
@@ -69,8 +69,8 @@
         :return: None.
         """
 
-        def done(written):
-            on_done(True if written.outcome is WriteOutcome.APPLIED else None)
+        def done(result):
+            on_done(True if result.outcome is WriteOutcome.APPLIED else None)
 
         self._write("PutItem", describe_put(Put(partition, key, data, 1, conditional=False)), done)
 
@@ -101,14 +101,14 @@
         """
         if len(puts) == 1:
             body = describe_put(puts[0])
-            self._write("PutItem", body, lambda written: on_done([written]), background)
+            self._write("PutItem", body, lambda result: on_done([result]), background)
             return
         body = {"TransactItems": [{"Put": describe_put(put)} for put in puts]}
 
         def done(result):
-            on_done(read_written(result, len(puts)))
+            on_done(read_write_results(result, len(puts)))
 
-        self._ask("TransactWriteItems", body, done, background)
+        self._call_table("TransactWriteItems", body, done, background)
 
     def delete_if_same(self, partition, key, data, on_done):
         """Delete a row if its bytes are still the same.
@@ -139,7 +139,7 @@
         def done(result):
             on_done(read_answer(result).map(lambda answer: read_row(answer.get("Item"))))
 
-        self._ask("GetItem", body, done)
+        self._call_table("GetItem", body, done)
 
     def query(self, partition, on_done, limit=None, start_after=None):
         """Read rows of a partition in the order of their keys.
@@ -157,9 +157,11 @@
             if rows is None or start_after is None or len(rows) >= limit:
                 on_done(rows)
                 return
-            self.query(partition, lambda first: on_done(_join(rows, first)), limit - len(rows))
+            self.query(
+                partition, lambda first: on_done(_merge_rows(rows, first)), limit - len(rows)
+            )
 
-        self._ask("Query", _query_body(partition, limit, start_after), done)
+        self._call_table("Query", _query_body(partition, limit, start_after), done)
 
     def put_object(self, path, data, on_done):
         """Write an object.
@@ -203,44 +205,46 @@
         self._send(self._objects, request, done)
 
     def _make_client(self, address):
-        return HttpClient(self._loop, split_address(address), _MAX_CONNECTIONS, _MAX_ANSWER)
+        return HttpClient(self._loop, split_address(address), _MAX_CONNECTIONS, _MAX_RESPONSE_BYTES)
 
     def _write(self, operation, body, on_done, background=False):
         def done(result):
-            on_done(read_written(result, 1)[0])
+            on_done(read_write_results(result, 1)[0])
 
-        self._ask(operation, body, done, background)
+        self._call_table(operation, body, done, background)
 
-    def _ask(self, operation, body, on_done, background=False):
+    def _call_table(self, operation, body, on_done, background=False):
         headers = (
             (b"host", b"table"),
             (b"content-type", b"application/x-amz-json-1.0"),
-            (b"x-amz-target", f"{_VERSION}.{operation}".encode()),
+            (b"x-amz-target", f"{_TABLE_API_VERSION}.{operation}".encode()),
         )
         request = Request("POST", b"/", headers, json.dumps(body).encode())
         self._send(self._table, request, on_done, background)
 
     def _send(self, client, request, on_done, background=False):
-        reason = self._reason_not_to_send(background)
+        reason = self._find_send_obstacle(background)
         if reason is not None:
             self._loop.call_later(0, lambda: on_done(Failed(reason, sent=False)))
             return
 
         def done(result):
             timer.cancel()
-            self._note(result)
+            self._record_response(result)
             on_done(result)
 
-        def give_up():
-            sent = abandon()
+        def on_timeout():
+            sent = cancel()
             done(Failed("no answer in time", sent))
 
-        timer = self._loop.call_later(self._timeout, give_up)
-        abandon = client.send(request, done)
+        timer = self._loop.call_later(self._timeout_s, on_timeout)
+        cancel = client.send(request, done)
 
-    def _reason_not_to_send(self, background):
+    def _find_send_obstacle(self, background):
         now = self._loop.now()
-        reserve = self._settings.requests_per_second * _BACKGROUND_SHARE if background else 0
+        reserve = (
+            self._settings.requests_per_second * _BACKGROUND_RESERVE_SHARE if background else 0
+        )
         if self._budget.available(now) < 1 + reserve:
             return "this node's budget of requests to the platform is spent"
         if not self._circuit.allows(now):
@@ -248,7 +252,7 @@
         self._budget.spend(1, now)
         return None
 
-    def _note(self, result):
+    def _record_response(self, result):
         now = self._loop.now()
         if isinstance(result, Failed) or result.status >= 500:
             self._circuit.record_failure(now)
@@ -273,5 +277,5 @@
     return body
 
 
-def _join(rows, more):
-    return None if more is None else {**more, **rows}
+def _merge_rows(rows, following):
+    return None if following is None else {**following, **rows}
--- a/packages/node/src/camphorshelf_node/quarantine.py
+++ b/packages/node/src/camphorshelf_node/quarantine.py
@@ -11,8 +11,8 @@
 SUSPECT_HEADER = b"camphorshelf-suspect"
 _TOPIC = "quarantine"
 _CLEARED = "cleared"
-_FORGET_SECONDS = 10.0
-_MAX_EVIDENCE = 8
+_EXPIRY_CHECK_SECONDS = 10.0
+_MAX_HEADER_TARGETS = 8
 
 
 class QuarantineController:
@@ -23,8 +23,8 @@
         self._gossip = gossip
         self._log = log
         self._state = Quarantine(settings.quarantine, settings.name)
-        gossip.subscribe(_TOPIC, self._on_news)
-        loop.call_every(_FORGET_SECONDS, lambda: self._state.remove_expired(time.time()))
+        gossip.subscribe(_TOPIC, self._on_entry)
+        loop.call_every(_EXPIRY_CHECK_SECONDS, lambda: self._state.remove_expired(time.time()))
 
     @property
     def state(self):
@@ -50,7 +50,7 @@
                 return
         proceed(exchange)
 
-    def judge(self, call):
+    def check_call(self, call):
         """Tell what is held against a call that reached its target's node.
 
         :param call: the :class:`~camphorshelf_core.messages.CallMessage`.
@@ -59,11 +59,11 @@
         evidence = header(call.headers, SUSPECT_HEADER)
         if evidence is None and not len(self._state):
             return Standing.CLEAR, None
-        name = _name(call)
+        name = _call_fingerprint(call)
         now = time.time()
         if evidence is not None:
-            for node in evidence.decode("latin-1").split(",")[:_MAX_EVIDENCE]:
-                self._learn_one(name, node, now)
+            for node in evidence.decode("latin-1").split(",")[:_MAX_HEADER_TARGETS]:
+                self._add_crash(name, node, now)
         return self._state.standing(name, now), name
 
     def refusal(self, name):
@@ -72,11 +72,11 @@
         :param name: its fingerprint.
         :return: the :class:`Refusal`.
         """
-        left = self._state.seconds_left(name, time.time())
+        remaining_s = self._state.seconds_left(name, time.time())
         reason = f"each target that ran this request died (fingerprint {name})"
-        return Refusal(Code.QUARANTINED, reason, retry_after_ms=int(left * 1000) + 1)
+        return Refusal(Code.QUARANTINED, reason, retry_after_ms=int(remaining_s * 1000) + 1)
 
-    def note_blamed(self, exchange, target):
+    def record_blamed(self, exchange, target):
         """Mark a caller's request that a target died under, for its retry.
 
         :param exchange: the caller's exchange.
@@ -86,20 +86,20 @@
         request = exchange.request
         name = fingerprint(exchange.service, request.method, request.path, request.body)
         now = time.time()
-        self._learn_one(name, target, now)
+        self._add_crash(name, target, now)
         nodes, _ = self._state.evidence(name)
         headers = tuple(pair for pair in request.headers if pair[0] != SUSPECT_HEADER)
         headers += ((SUSPECT_HEADER, ",".join(nodes).encode()),)
         exchange.request = request._replace(headers=headers)
         return self._state.standing(name, now) is Standing.REFUSED
 
-    def note_crash(self, calls):
+    def record_crash(self, calls):
         """Take in that the target beside this node died.
 
         :param calls: the calls that it was working on.
         :return: those that are blamed.
         """
-        names = {id(call): _name(call) for call in calls}
+        names = {id(call): _call_fingerprint(call) for call in calls}
         now = time.time()
         blamed = self._state.record_crash(names.values(), now)
         for name in blamed:
@@ -109,7 +109,7 @@
             self._log.info(f"the target died under request {name}: {standing.name}")
         return [call for call in calls if names[id(call)] in blamed]
 
-    def note_clean(self, name, started):
+    def record_completed(self, name, started):
         """Take in that a suspect ran to its answer.
 
         :param name: its fingerprint.
@@ -144,21 +144,21 @@
         :param name: its fingerprint.
         :return: True when something was held against it.
         """
-        lifted = self._state.lift(name, time.time())
-        if lifted:
+        was_lifted = self._state.lift(name, time.time())
+        if was_lifted:
             cleared_at = self._state.cleared_at(name)
             self._publish(f"{name}:{_CLEARED}", cleared_at, cleared_at)
             self._log.info(f"quarantine of request {name} lifted by an operator")
-        return lifted
+        return was_lifted
 
-    def _learn_one(self, name, node, now):
+    def _add_crash(self, name, node, now):
         if node not in self._state.evidence(name)[0]:
             self._state.merge_crashes(name, node, Crashes(1, now), now)
 
     def _publish(self, key, at, value):
         self._gossip.publish(_TOPIC, key, int(at * 1000), value)
 
-    def _on_news(self, key, _version, value):
+    def _on_entry(self, key, _version, value):
         name, _, source = key.partition(":")
         try:
             if source == _CLEARED:
@@ -171,5 +171,5 @@
             self._log.info(f"news that is none, on quarantine: {key}")
 
 
-def _name(call):
+def _call_fingerprint(call):
     return fingerprint(call.service, call.method, call.path, call.body)
--- a/packages/node/src/camphorshelf_node/roster.py
+++ b/packages/node/src/camphorshelf_node/roster.py
@@ -8,7 +8,7 @@
         self._services = {}
         gossip.on_member(self._on_member)
 
-    def knows(self, service):
+    def has_service(self, service):
         """Tell whether any target serves a service.
 
         :param service: its name.
--- a/packages/node/src/camphorshelf_node/rows.py
+++ b/packages/node/src/camphorshelf_node/rows.py
@@ -116,7 +116,7 @@
     return {item["sk"]["S"]: base64.b64decode(item["doc"]["B"]) for item in items}
 
 
-def read_written(result, count):
+def read_write_results(result, count):
     """Read how a write or a transaction of writes went.
 
     :param result: the response, or :class:`Failed`.
@@ -124,19 +124,21 @@
     :return: a list of :class:`Written`, one for each row.
     """
     if isinstance(result, Failed):
-        return _all(WriteOutcome.UNKNOWN if result.sent else WriteOutcome.NOT_APPLIED, count)
+        return _same_for_all(
+            WriteOutcome.UNKNOWN if result.sent else WriteOutcome.NOT_APPLIED, count
+        )
     if result.status == 200:
-        return _all(WriteOutcome.APPLIED, count)
+        return _same_for_all(WriteOutcome.APPLIED, count)
     if result.status >= 500:
         # A service that fails inside says nothing of what it had done by then.
-        return _all(WriteOutcome.UNKNOWN, count)
+        return _same_for_all(WriteOutcome.UNKNOWN, count)
     document = json.loads(result.body or b"{}")
-    kind = document.get("__type", "")
-    if kind.endswith(f"{_CONDITION_FAILED}Exception"):
+    error_type = document.get("__type", "")
+    if error_type.endswith(f"{_CONDITION_FAILED}Exception"):
         return [WriteResult(WriteOutcome.LOST, read_row(document.get("Item")))]
-    if kind.endswith(_TRANSACTION_CANCELLED):
+    if error_type.endswith(_TRANSACTION_CANCELLED):
         return [_read_reason(reason) for reason in document["CancellationReasons"]]
-    return _all(WriteOutcome.NOT_APPLIED, count)
+    return _same_for_all(WriteOutcome.NOT_APPLIED, count)
 
 
 def _read_reason(reason):
@@ -145,5 +147,5 @@
     return WriteResult(WriteOutcome.NOT_APPLIED)
 
 
-def _all(outcome, count):
+def _same_for_all(outcome, count):
     return [WriteResult(outcome)] * count
--- a/packages/node/src/camphorshelf_node/sensing.py
+++ b/packages/node/src/camphorshelf_node/sensing.py
@@ -7,20 +7,20 @@
 class ProbeController:
     """Moves probes through the node's datagram socket within the core package's budget."""
 
-    def __init__(self, loop, settings, gossip, keeper, gatekeeper, random):
+    def __init__(self, loop, settings, gossip, load_tracker, admission_controller, random):
         self._loop = loop
         self._gossip = gossip
-        self._keeper = keeper
-        self._gatekeeper = gatekeeper
+        self._load_tracker = load_tracker
+        self._admission_controller = admission_controller
         self._own_address = settings.listen.peers
-        self._sensing = ProbeScheduler(settings.sensing, random, loop.now())
+        self._scheduler = ProbeScheduler(settings.sensing, random, loop.now())
         gossip.on_message(ProbeMessage, self._on_probe)
         gossip.on_message(ProbeAnswerMessage, self._on_answer)
 
     @property
-    def sensing(self):
+    def scheduler(self):
         """The budget and its counts."""
-        return self._sensing
+        return self._scheduler
 
     def probe_one(self, candidates):
         """Probe one of a service's targets if one is worth it and the budget allows.
@@ -28,21 +28,21 @@
         :param candidates: the service's targets.
         :return: None.
         """
-        remote = [one for one in candidates if one.address != self._own_address]
-        probe = self._sensing.next_probe(remote, self._loop.now())
+        remote = [candidate for candidate in candidates if candidate.address != self._own_address]
+        probe = self._scheduler.next_probe(remote, self._loop.now())
         if probe is not None:
             self._send(ProbeMessage(probe.number), probe.address)
 
     def _on_probe(self, message, address):
-        if self._sensing.may_answer(self._loop.now()):
-            self._send(ProbeAnswerMessage(message.number, self._gatekeeper.load), address)
+        if self._scheduler.may_answer(self._loop.now()):
+            self._send(ProbeAnswerMessage(message.number, self._admission_controller.load), address)
 
     def _on_answer(self, message, _address):
-        asked = self._sensing.match_answer(message.number)
-        if asked is not None:
-            target, sent_at = asked
-            self._keeper.note_report(target, message.load)
-            self._keeper.round_trip.record((self._loop.now() - sent_at) * 1000)
+        probed = self._scheduler.match_answer(message.number)
+        if probed is not None:
+            target, sent_at = probed
+            self._load_tracker.record_report(target, message.load)
+            self._load_tracker.round_trip.record((self._loop.now() - sent_at) * 1000)
 
     def _send(self, message, address):
         data = encode(message)
--- a/packages/node/src/camphorshelf_node/serve.py
+++ b/packages/node/src/camphorshelf_node/serve.py
@@ -10,9 +10,9 @@
 from .log import FORMAT
 from .node import Node
 
-_YOUNG_OBJECTS = 10_000
-_YOUNG_ROUNDS = 10
-_MIDDLE_ROUNDS = 10
+_GENERATION_0_THRESHOLD = 10_000
+_GENERATION_1_THRESHOLD = 10
+_GENERATION_2_THRESHOLD = 10
 
 
 def serve(path, log_level):
@@ -27,17 +27,17 @@
     handler = logbook.StreamHandler(sys.stderr, level=level, format_string=FORMAT)
     with handler.applicationbound():
         node = Node(settings, log_level)
-        _tune_collector()
+        _configure_gc()
         node.run()
 
 
-def _tune_collector():
+def _configure_gc():
     # A full collection looks at all 50,000 objects that the libraries made at import, for some
     # 30 ms, and stops every call meanwhile. They live as long as the process, so they are
     # taken out of it; the rest is small, and collected less often.
     gc.collect()
     gc.freeze()
-    gc.set_threshold(_YOUNG_OBJECTS, _YOUNG_ROUNDS, _MIDDLE_ROUNDS)
+    gc.set_threshold(_GENERATION_0_THRESHOLD, _GENERATION_1_THRESHOLD, _GENERATION_2_THRESHOLD)
 
 
 if __name__ == "__main__":
--- a/packages/node/src/camphorshelf_node/tickets.py
+++ b/packages/node/src/camphorshelf_node/tickets.py
@@ -15,27 +15,27 @@
 )
 from camphorshelf_core.tickets import TicketStep, is_ticket, parse_ticket
 
-from .claims import KEY_HEADER, REPLAY_HEADER, digest_of, is_valid_key
+from .claims import KEY_HEADER, REPLAY_HEADER, is_valid_key, request_digest
 from .headers import strip_hop_by_hop, with_deadline
 
 TICKETS_PATH = b"/.camphorshelf/tickets"
-_MAX_COUNT = 100
-_MINT_SECONDS = 1.0
-_RETRY_MS = 1_000
-_RECORD_BYTES = 400
+_MAX_TICKETS_PER_REQUEST = 100
+_MINT_TIMEOUT_SECONDS = 1.0
+_RETRY_AFTER_MS = 1_000
+_RECORD_OVERHEAD_BYTES = 400
 
 
-class TicketDesk:
+class TicketRunner:
     """Mints tickets for the target beside this node and runs each of them once."""
 
-    def __init__(self, loop, once, gatekeeper, book):
+    def __init__(self, loop, at_most_once, admission_controller, store):
         self._loop = loop
-        self._once = once
-        self._gatekeeper = gatekeeper
-        self._book = book
+        self._at_most_once = at_most_once
+        self._admission_controller = admission_controller
+        self._store = store
         self._waiting = {}
 
-    def answer_mint(self, message, reply):
+    def answer_tickets_request(self, message, reply):
         """Mint tickets for an entry node.
 
         :param message: its :class:`MintMessage`.
@@ -50,16 +50,16 @@
         :param message: the :class:`MintMessage`.
         :return: the :class:`MintedMessage`.
         """
-        target = self._gatekeeper.target
+        target = self._admission_controller.target
         if target is None or target.service != message.service:
-            return _refuse_mint(Refusal(Code.NO_TARGET, "no such target beside this node"))
+            return _mint_refusal(Refusal(Code.NO_TARGET, "no such target beside this node"))
         tickets = []
-        for _ in range(min(message.count, _MAX_COUNT)):
-            minted = self._book.mint(message.service, self._loop.now())
+        for _ in range(min(message.count, _MAX_TICKETS_PER_REQUEST)):
+            minted = self._store.mint(message.service, self._loop.now())
             if isinstance(minted, Refusal):
                 break
             tickets.append(minted)
-        return TicketsMessage(0, tuple(tickets), None) if tickets else _refuse_mint(minted)
+        return TicketsMessage(0, tuple(tickets), None) if tickets else _mint_refusal(minted)
 
     def run(self, call, on_done):
         """Run a call; one under a ticket only when it has not run.
@@ -71,20 +71,20 @@
         key = None if is_idempotent(call.method) else header(call.headers, KEY_HEADER)
         text = None if key is None else key.decode("latin-1")
         if text is None or not is_ticket(text):
-            return self._once.run(call, on_done)
+            return self._at_most_once.run(call, on_done)
         ticket = parse_ticket(text)
         if ticket is None:
-            on_done(_bad_ticket(), self._gatekeeper.load)
+            on_done(_bad_ticket_refusal(), self._admission_controller.load)
             return _do_nothing
-        digest = digest_of(call)
-        step, result = self._book.begin(ticket, call.service, digest, self._loop.now())
+        digest = request_digest(call)
+        step, result = self._store.begin(ticket, call.service, digest, self._loop.now())
         if step is TicketStep.ANSWER:
-            on_done(_as_replay(result), self._gatekeeper.load)
+            on_done(_as_replay(result), self._admission_controller.load)
             return _do_nothing
         if step is TicketStep.WAIT:
             waiting = self._waiting[ticket]
             waiting.append(on_done)
-            return lambda: _remove(waiting, on_done)
+            return lambda: _remove_callback(waiting, on_done)
         return self._start(call, ticket, on_done)
 
     def _start(self, call, ticket, on_done):
@@ -92,34 +92,36 @@
 
         def finish(result, load):
             del self._waiting[ticket]
-            self._book.finish(ticket, result, _size(result), self._loop.now())
-            for one in waiting:
-                one(result, load)
+            self._store.finish(ticket, result, _record_bytes(result), self._loop.now())
+            for callback in waiting:
+                callback(result, load)
 
-        cancel = self._once.run(call, finish)
+        cancel = self._at_most_once.run(call, finish)
 
-        def leave():
-            _remove(waiting, on_done)
+        def stop_waiting():
+            _remove_callback(waiting, on_done)
             # Once it has started, its answer is worth keeping for a resend. Before that, and
             # with nobody waiting, it is void and the ticket good for another try.
             is_current = self._waiting.get(ticket) is waiting
-            if is_current and not waiting and not self._once.has_started(call):
+            if is_current and not waiting and not self._at_most_once.has_started(call):
                 cancel()
-                finish(Refusal(Code.CANCELLED, "nobody waits for it"), self._gatekeeper.load)
+                finish(
+                    Refusal(Code.CANCELLED, "nobody waits for it"), self._admission_controller.load
+                )
 
-        return leave
+        return stop_waiting
 
 
-class TicketEntry:
+class TicketForwarder:
     """Passes calls under tickets to the one node that may run them, and asks for new tickets."""
 
-    def __init__(self, loop, settings, dispatcher, roster, replica, desk, random):
+    def __init__(self, loop, settings, dispatcher, roster, replica, runner, random):
         self._loop = loop
         self._settings = settings
         self._dispatcher = dispatcher
         self._roster = roster
         self._replica = replica
-        self._desk = desk
+        self._runner = runner
         self._random = random
 
     def filter(self, exchange, proceed):
@@ -131,7 +133,7 @@
         """
         request = exchange.request
         if request.path.partition(b"?")[0] == TICKETS_PATH:
-            self._mint(exchange)
+            self._request_tickets(exchange)
             return
         key = None if is_idempotent(request.method) else header(request.headers, KEY_HEADER)
         if key is None or not is_ticket(key.decode("latin-1")):
@@ -140,11 +142,11 @@
         ticket = parse_ticket(key.decode("latin-1"))
         if ticket is None or not is_valid_key(request.headers):
             exchange.is_keyed = False
-            exchange.refuse(_bad_ticket())
+            exchange.refuse(_bad_ticket_refusal())
             return
         self._send(exchange, ticket)
 
-    def _mint(self, exchange):
+    def _request_tickets(self, exchange):
         request = exchange.request
         if request.method != "POST":
             exchange.refuse(Refusal(Code.BAD_REQUEST, "tickets are taken with POST"))
@@ -152,30 +154,30 @@
         members = self._roster.members(exchange.service)
         if not members:
             reason = "no target of the service takes work"
-            exchange.refuse(Refusal(Code.NO_TARGET, reason, retry_after_ms=_RETRY_MS))
+            exchange.refuse(Refusal(Code.NO_TARGET, reason, retry_after_ms=_RETRY_AFTER_MS))
             return
         member = self._random.choice(members)
         message = TicketsRequestMessage(0, exchange.service, _read_count(request.path))
         if member.address == self._settings.listen.peers:
-            self._give_tickets(exchange, self._desk.mint(message))
+            self._send_tickets(exchange, self._runner.mint(message))
             return
 
         def done(answer):
             timer.cancel()
-            self._give_tickets(exchange, answer)
+            self._send_tickets(exchange, answer)
 
-        def give_up():
+        def on_timeout():
             cancel()
-            self._give_tickets(exchange, None)
+            self._send_tickets(exchange, None)
 
-        timer = self._loop.call_later(_MINT_SECONDS, exchange.guard(give_up))
+        timer = self._loop.call_later(_MINT_TIMEOUT_SECONDS, exchange.guard(on_timeout))
         link = self._dispatcher.link(member.address)
         cancel = link.call(message, exchange.guard(done))
 
-    def _give_tickets(self, exchange, answer):
+    def _send_tickets(self, exchange, answer):
         if not isinstance(answer, TicketsMessage):
             reason = "the target's node did not answer"
-            exchange.refuse(Refusal(Code.PEER_LOST, reason, retry_after_ms=_RETRY_MS))
+            exchange.refuse(Refusal(Code.PEER_LOST, reason, retry_after_ms=_RETRY_AFTER_MS))
             return
         refusal = unpack_result(None, answer.refusal)
         if refusal is not None:
@@ -187,15 +189,15 @@
     def _send(self, exchange, ticket):
         member = self._replica.member(ticket.node)
         if member is None or not member.in_use or member.incarnation != ticket.incarnation:
-            exchange.refuse(_node_gone(is_final=member is not None))
+            exchange.refuse(_node_gone_refusal(is_final=member is not None))
             return
         message = self._make_message(exchange, ticket)
         call = _TicketCall(self._loop, exchange)
         if member.address == self._settings.listen.peers:
-            call.start(lambda done: self._desk.run(message, lambda result, _load: done(result)))
+            call.start(lambda done: self._runner.run(message, lambda result, _load: done(result)))
         else:
             link = self._dispatcher.link(member.address)
-            call.start(lambda done: link.call(message, lambda answer: done(_read(answer))))
+            call.start(lambda done: link.call(message, lambda answer: done(_to_result(answer))))
 
     def _make_message(self, exchange, ticket):
         request = exchange.request
@@ -240,7 +242,7 @@
         # could not reach it tells nothing of an earlier send through another one.
         exchange.is_keyed = result.code is Code.PEER_LOST
         if result.code is Code.PEER_LOST:
-            result = _node_gone(is_final=False)
+            result = _node_gone_refusal(is_final=False)
         exchange.refuse(result)
 
     def _on_deadline(self):
@@ -253,7 +255,7 @@
         self._cancel()
 
 
-def _read(answer):
+def _to_result(answer):
     if isinstance(answer, Refusal):
         return answer
     if isinstance(answer, AnswerMessage):
@@ -261,23 +263,23 @@
     return Refusal(Code(answer.code), answer.reason, Ran(answer.ran), answer.retry_after_ms)
 
 
-def _refuse_mint(refusal):
+def _mint_refusal(refusal):
     return TicketsMessage(0, (), pack_result(refusal)[1])
 
 
 def _read_count(path):
     values = parse_qs(urlsplit(path.decode("latin-1")).query).get("count", ["1"])
-    is_count = values[0].isdecimal() and len(values[0]) <= len(str(_MAX_COUNT))
+    is_count = values[0].isdecimal() and len(values[0]) <= len(str(_MAX_TICKETS_PER_REQUEST))
     return max(1, int(values[0])) if is_count else 1
 
 
-def _node_gone(is_final):
+def _node_gone_refusal(is_final):
     reason = "the node that minted the ticket is gone or cannot be reached; no other runs it"
-    retry_after_ms = None if is_final else _RETRY_MS
+    retry_after_ms = None if is_final else _RETRY_AFTER_MS
     return Refusal(Code.TICKET_NODE_GONE, reason, Ran.OUTCOME_UNKNOWN, retry_after_ms)
 
 
-def _bad_ticket():
+def _bad_ticket_refusal():
     return Refusal(Code.BAD_TICKET, "the ticket is malformed")
 
 
@@ -287,14 +289,14 @@
     return result
 
 
-def _size(result):
+def _record_bytes(result):
     if not isinstance(result, Response):
-        return _RECORD_BYTES
+        return _RECORD_OVERHEAD_BYTES
     headers = sum(len(name) + len(value) for name, value in result.headers)
-    return _RECORD_BYTES + headers + len(result.body)
+    return _RECORD_OVERHEAD_BYTES + headers + len(result.body)
 
 
-def _remove(waiting, on_done):
+def _remove_callback(waiting, on_done):
     if on_done in waiting:
         waiting.remove(on_done)
 
--- a/packages/node/src/camphorshelf_node/versionguard.py
+++ b/packages/node/src/camphorshelf_node/versionguard.py
@@ -34,7 +34,7 @@
 
     def guarded(message, reply):
         def stamp(answer):
-            load = answer.load._replace(config_version=configuration.held.version)
+            load = answer.load._replace(config_version=configuration.local_version.version)
             reply(answer._replace(load=load))
 
         refusal = configuration.find_refusal()
--- a/packages/node/src/camphorshelf_node/work.py
+++ b/packages/node/src/camphorshelf_node/work.py
@@ -103,7 +103,7 @@
         abandon, self._abandon = self._abandon, None
         if abandon is not None:
             if abandon():
-                self._gatekeeper.crashes.note_abandoned(self.call)
+                self._gatekeeper.crashes.record_abandoned(self.call)
         self._gatekeeper.cancel(self)
 
     def fail(self, blamed, reason):
@@ -149,7 +149,7 @@
         self._gatekeeper.finish(self, served=False)
         reason = f"the target failed: {failed.reason}"
         if failed.sent:
-            self._gatekeeper.crashes.note_lost(self, reason)
+            self._gatekeeper.crashes.record_lost(self, reason)
         elif self.ticket.deadline > self._loop.now():
             self._answer(Refusal(Code.TARGET_UNREACHABLE, reason))
         else:
--- a/tests/features/steps/metrics_steps.py
+++ b/tests/features/steps/metrics_steps.py
@@ -73,7 +73,7 @@
 @when("a call of {milliseconds:d} ms was answered")
 def answer_call(context, milliseconds):
     received = context.loop.now() - milliseconds / 1000
-    context.metrics.note_answer(FakeExchange(received), Code.OK)
+    context.metrics.record_answer(FakeExchange(received), Code.OK)
 
 
 @then("the {quantile} duration is about {milliseconds:d} ms")
@@ -123,7 +123,7 @@
 
 @then("none of them is kept")
 def check_none_kept(context):
-    assert context.log._noted == []
+    assert context.log._buffered == []
 
 
 @then("nothing was written yet")
--- a/tests/features/steps/quarantine_steps.py
+++ b/tests/features/steps/quarantine_steps.py
@@ -296,7 +296,7 @@
     def __init__(self, is_refused):
         self._is_refused = is_refused
 
-    def note_blamed(self, exchange, target):
+    def record_blamed(self, exchange, target):
         """Put the target's name into the request's evidence."""
         request = exchange.request
         headers = (*request.headers, (SUSPECT_HEADER, target.encode()))
--- a/tests/standins/simulated.py
+++ b/tests/standins/simulated.py
@@ -23,7 +23,7 @@
 )
 from camphorshelf_core.spill import can_start_within
 from camphorshelf_node.dispatch import Dispatcher
-from camphorshelf_node.load import LoadKeeper
+from camphorshelf_node.load import LoadTracker
 
 SERVICE = "counter"
 _NETWORK_SECONDS = 0.0005
@@ -264,17 +264,17 @@
     weights = {}
 
     @property
-    def held(self):
+    def local_version(self):
         return self
 
     def is_leaving(self, service, target, domain):
         """Let all stay."""
         return False
 
-    def ride_on(self, link, address):
+    def announce_version(self, link, address):
         """Tell nothing."""
 
-    def hear_from(self, address, version):
+    def observe_peer_version(self, address, version):
         """Hear nothing."""
 
 
@@ -283,7 +283,7 @@
         """Let all stay."""
         return False
 
-    def note_report(self, target, load):
+    def record_report(self, target, load):
         """Learn nothing."""
 
 
@@ -327,7 +327,7 @@
             f"e{index}", domain, listen, PlatformSettings(_NOWHERE, _NOWHERE), entry=entry
         )
         chance = random.Random(self.random.random())
-        keeper = LoadKeeper(
+        keeper = LoadTracker(
             self.loop,
             settings,
             _Roster(self.members),
