--- a/packages/cli/src/camphorshelf_cli/__init__.py
+++ b/packages/cli/src/camphorshelf_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' program of camphorshelf."""
+"""The command-line program for operators of camphorshelf."""
--- a/packages/cli/src/camphorshelf_cli/client.py
+++ b/packages/cli/src/camphorshelf_cli/client.py
@@ -1,4 +1,4 @@
-"""Asks a node's administration API."""
+"""The client of a node's administration API."""
 
 import http.client
 import json
@@ -15,25 +15,28 @@
 
 
 class Response(NamedTuple):
-    """What the node answered."""
+    """A node's response: the HTTP status and the decoded body."""
 
     status: int
     document: dict
 
 
 def node_address(node):
-    """Tell which node to ask.
+    """Return the address of the node to send requests to.
 
-    :param node: what the command line said, or None.
-    :return: ``IP:PORT``.
+    :param node: the address from the command line, or None.
+    :return: ``IP:PORT`` from the command line, the environment or the default.
     """
     return node or os.environ.get(NODE_VARIABLE, DEFAULT_NODE)
 
 
 def find_token():
-    """Find the operator's token; never on the command line, where others can read it.
+    """Read the operator's token from the environment or a file.
+
+    It can't be given on the command line, which other users of the machine can read.
 
     :return: the token, or None.
+    :raises OSError: if the token file cannot be read.
     """
     path = os.environ.get(TOKEN_FILE_VARIABLE)
     if path is None:
@@ -43,14 +46,13 @@
 
 
 def send_request(node, method, path, document=None) -> Result[Response, str]:
-    """Send one request.
+    """Send a request.
 
     :param node: ``IP:PORT`` of the node's administration listener.
     :param method: the HTTP method.
     :param path: the request's path.
-    :param document: what to send as JSON, or None.
-    :return: ``Success`` of the :class:`Answer`, or ``Failure`` of one sentence that says why
-        there is none.
+    :param document: the document to send as JSON, or None.
+    :return: ``Success`` of the :class:`Response`, or ``Failure`` of a sentence with the reason.
     """
     try:
         token = find_token()
@@ -72,4 +74,6 @@
     except (OSError, http.client.HTTPException) as error:
         return Failure(f"the connection to {node} failed: {error or type(error).__name__}")
     except ValueError:
-        return Failure(f"what answers at {node} is not a node's administration listener")
+        return Failure(
+            f"the response from {node} is not JSON: it is not a node's administration listener"
+        )
--- a/packages/cli/src/camphorshelf_cli/commands.py
+++ b/packages/cli/src/camphorshelf_cli/commands.py
@@ -1,4 +1,4 @@
-"""What operators can do from the command line."""
+"""The commands of the operators' program."""
 
 import hashlib
 import json
@@ -25,21 +25,21 @@
 
 
 class Commands:
-    """Plans, confirms and looks at the configuration of a camphorshelf deployment.
+    """Plan, confirm and inspect the configuration of a camphorshelf deployment.
 
-    The node to ask is --node IP:PORT or CAMPHORSHELF_NODE, the token is read from
-    CAMPHORSHELF_TOKEN or from the file named by CAMPHORSHELF_TOKEN_FILE.
+    The node is given by --node IP:PORT or CAMPHORSHELF_NODE. The operator's token is read from
+    CAMPHORSHELF_TOKEN, or from the file that CAMPHORSHELF_TOKEN_FILE names.
     """
 
     def plan(self, *intents, file=None, node=None, json=False):
-        """Show what intents would change, without changing it.
+        """Plan changes and show their effect, without applying them.
 
         :param intents: each like "counter/a1 leave", "counter/a1 weight=50",
             "counter domain:fd-a leave", "counter owner=flock", "counter POST class=deferrable",
             "counter POST idempotent=yes" or "counter caller:shop-7 share=30".
-        :param file: a file with the intents instead, as JSON with comments.
-        :param node: which node to ask.
-        :param json: print JSON for programs.
+        :param file: a JSON5 file with the intents, instead of arguments.
+        :param node: IP:PORT of the node.
+        :param json: print JSON.
         """
         updates = _read_file(file) if file is not None else [_parse_intent(one) for one in intents]
         _request_and_print("POST", "/v1/plans", node, json, render_plan, {"intents": updates})
@@ -48,17 +48,17 @@
         """Show a stored plan.
 
         :param plan: the plan's digest.
-        :param node: which node to ask.
-        :param json: print JSON for programs.
+        :param node: IP:PORT of the node.
+        :param json: print JSON.
         """
         _request_and_print("GET", f"/v1/plans/{_quote_segment(plan)}", node, json, render_plan)
 
     def confirm(self, plan, node=None, json=False):
-        """Put a plan in force; may be repeated.
+        """Confirm a plan, which puts it in force; may be repeated.
 
         :param plan: the plan's digest.
-        :param node: which node to ask.
-        :param json: print JSON for programs.
+        :param node: IP:PORT of the node.
+        :param json: print JSON.
         """
         path = f"/v1/plans/{_quote_segment(plan)}/confirm"
         _request_and_print(
@@ -66,32 +66,33 @@
         )
 
     def status(self, node=None, json=False):
-        """Show the targets of the team's services and what is wanted of them.
+        """Show the targets of the team's services, their state and the intents for them.
 
-        :param node: which node to ask.
-        :param json: print JSON for programs.
+        :param node: IP:PORT of the node.
+        :param json: print JSON.
         """
         _request_and_print("GET", "/v1/status", node, json, render_status)
 
     def history(self, limit=20, node=None, json=False):
         """Show the newest confirmed versions.
 
-        :param limit: how many.
-        :param node: which node to ask.
-        :param json: print JSON for programs.
+        :param limit: the maximum number of versions.
+        :param node: IP:PORT of the node.
+        :param json: print JSON.
         """
         _request_and_print(
             "GET", f"/v1/history?limit={_quote_segment(limit)}", node, json, render_history
         )
 
     def explain(self, call, node=None, json=False, logs=None):
-        """Show why a call went where it did.
-
-        :param call: the id from the header Camphorshelf-Call of its answer, or with --logs the
-            caller's id of the request.
-        :param node: the node that took the call.
-        :param json: print JSON for programs.
-        :param logs: saved logs of the hosts, a path or a pattern; no node is asked then.
+        """Show why a call was routed as it was.
+
+        :param call: the id from the response header Camphorshelf-Call, or with --logs the caller's
+            id of the request.
+        :param node: the node that accepted the call.
+        :param json: print JSON.
+        :param logs: the path of saved logs of the hosts, or a pattern of paths, to read instead of
+            asking a node.
         """
         if logs is not None:
             _explain_from_logs(str(call), logs, json)
@@ -108,10 +109,10 @@
         result = read_settings(path)
         if not isinstance(result, Success):
             _exit_with(EXIT_BAD_USAGE, result.failure())
-        print(f"{path}: good")
+        print(f"{path}: the settings are valid")
 
     def token(self):
-        """Make a token and the hash that belongs into the nodes' settings."""
+        """Create a token, and its hash for the nodes' settings."""
         token = secrets.token_urlsafe(_TOKEN_BYTES)
         print(f"token   {token}")
         print(f"sha256  {hashlib.sha256(token.encode()).hexdigest()}")
@@ -124,7 +125,7 @@
 def _explain_from_logs(request, pattern, as_json):
     hops = find_hops(request, pattern)
     if not hops:
-        _exit_with(EXIT_NOT_FOUND, f"no line of {request} in {pattern}")
+        _exit_with(EXIT_NOT_FOUND, f"no log line of request {request} in {pattern}")
     print(json.dumps([hop._asdict() for hop in hops], indent=2) if as_json else render_hops(hops))
 
 
@@ -146,7 +147,7 @@
 def _print_refusal(document, as_json):
     print(f"{document['code']} {document['name']}: {document['error']}", file=sys.stderr)
     if not as_json and document.get("fresh_plan"):
-        print("the same changes on the version now in force:", file=sys.stderr)
+        print("plan of the same changes, based on the version in force:", file=sys.stderr)
         print(render_plan(document["fresh_plan"]), file=sys.stderr)
 
 
@@ -157,7 +158,7 @@
     except OSError as error:
         _exit_with(EXIT_BAD_USAGE, f"{path}: {error.strerror}")
     except ValueError as error:
-        _exit_with(EXIT_BAD_USAGE, f"{path}: not JSON with comments: {error}")
+        _exit_with(EXIT_BAD_USAGE, f"{path}: not valid JSON5: {error}")
     return document.get("intents") if isinstance(document, dict) else document
 
 
@@ -167,7 +168,7 @@
 
 
 def _parse_intent(text):
-    """Turn one intent of the command line into the form of the API."""
+    """Parse an intent of the command line into a document of the API."""
     resource, *parts = str(text).split()
     service, slash, target = resource.partition("/")
     intent = {"service": service}
--- a/packages/cli/src/camphorshelf_cli/logs.py
+++ b/packages/cli/src/camphorshelf_cli/logs.py
@@ -1,10 +1,11 @@
-"""What saved logs of several hosts say of one request."""
+"""Collects the lines about one request from saved logs of several hosts."""
 
 import json
 from glob import glob
 from typing import NamedTuple
 
-# The order in which the hops of a request log; clocks of hosts differ by more than a hop takes.
+# The order in which the steps of a request are logged. Lines of different hosts can't be ordered by
+# their times, since the hosts' clocks differ by more than a step takes.
 _STAGES = {
     "turned_away": 1,
     "run_failed": 1,
@@ -19,12 +20,12 @@
 
 
 class Hop(NamedTuple):
-    """One line about a request.
+    """A log line about a request.
 
-    :param host: the host that wrote it.
-    :param event: what happened.
-    :param fields: the inputs and the outcome.
-    :param time: Unix seconds of that host's clock.
+    :param host: the host that wrote the line.
+    :param event: the name of the event.
+    :param fields: the other fields of the line.
+    :param time: Unix time in seconds by that host's clock.
     """
 
     host: str
@@ -34,13 +35,13 @@
 
 
 def find_hops(request, pattern):
-    """Collect the lines of one request, in the order in which they happened.
+    """Collect the lines of a request, in the order of the events.
 
-    Lines of the entry node keep their order. Those of a target's node stand before the entry
-    node's line that takes up their result, whatever the clocks say.
+    Lines of the entry node keep their order. Lines of a target's node are placed before the entry
+    node's line about their result, regardless of the clocks.
 
     :param request: the caller's id of the request.
-    :param pattern: a file's path, or a pattern for several.
+    :param pattern: the path of a log file, or a pattern of paths.
     :return: a list of :class:`Hop`.
     """
     hops = [hop for path in sorted(glob(pattern)) for hop in _read_hops(path, request)]
@@ -57,7 +58,7 @@
 
 
 def render_hops(hops):
-    """Lay hops out for people.
+    """Render hops as text.
 
     :param hops: a list of :class:`Hop`.
     :return: the lines as one text.
@@ -70,7 +71,8 @@
 
 
 def _precedes(result, hop, entry_hosts):
-    # A decline answers the earliest result left; the last line takes all that are left.
+    # An entry node's line is preceded by results with the same code; its last line by all that are
+    # left.
     if _stage(hop) == _LAST_STAGE:
         return True
     code = hop.fields.get("code")
@@ -93,7 +95,7 @@
 
 
 def _read_line(line):
-    # Collectors put a prefix before the line.
+    # Log collectors may put a prefix before the JSON document.
     try:
         return json.loads(line[line.index("{") :])
     except ValueError:
--- a/packages/cli/src/camphorshelf_cli/main.py
+++ b/packages/cli/src/camphorshelf_cli/main.py
@@ -1,4 +1,4 @@
-"""The command line for operators."""
+"""The entry point of the operators' program."""
 
 import fire
 
@@ -6,7 +6,7 @@
 
 
 def main():
-    """Start from the command line.
+    """Run the command line.
 
     :return: None.
     """
--- a/packages/cli/src/camphorshelf_cli/tables.py
+++ b/packages/cli/src/camphorshelf_cli/tables.py
@@ -1,13 +1,13 @@
-"""Tables for people."""
+"""Renders documents of the administration API as text."""
 
 import time
 
 
 def render_table(header, rows):
-    """Lay rows out in columns.
+    """Render rows as a table with aligned columns.
 
-    :param header: the columns' names.
-    :param rows: tuples of values.
+    :param header: the names of the columns.
+    :param rows: a list of tuples of values.
     :return: the lines as one text.
     """
     cells = [tuple(header), *[tuple(_format_cell(value) for value in row) for row in rows]]
@@ -16,9 +16,9 @@
 
 
 def render_plan(document):
-    """Tell what a plan does.
+    """Render a plan.
 
-    :param document: the plan as the node described it.
+    :param document: the plan's document.
     :return: the lines as one text.
     """
     lines = [f"plan {document['plan']} on version {document['base']}"]
@@ -30,9 +30,9 @@
 
 
 def render_status(document):
-    """Tell the state of the targets.
+    """Render the state of the targets.
 
-    :param document: the node's status.
+    :param document: the node's status document.
     :return: the lines as one text.
     """
     rows = [
@@ -56,9 +56,9 @@
 
 
 def render_history(document):
-    """Tell the confirmed versions.
+    """Render the confirmed versions.
 
-    :param document: the node's history.
+    :param document: the node's history document.
     :return: the lines as one text.
     """
     header = ("VERSION", "PLANNED", "BY", "SERVICE", "CHANGE", "BEFORE", "AFTER")
@@ -81,9 +81,9 @@
 
 
 def render_explanation(document):
-    """Tell the decisions about a call.
+    """Render the decisions about a call.
 
-    :param document: the node's explanation.
+    :param document: the node's explanation document.
     :return: the lines as one text.
     """
     lines = [f"call {document['call']} at node {document['node']}"]
--- a/packages/node/src/camphorshelf_node/config.py
+++ b/packages/node/src/camphorshelf_node/config.py
@@ -1,4 +1,4 @@
-"""The controller of the configuration: proves, spreads, fetches and applies its versions."""
+"""Keeps the node's configuration current: proves, fetches, installs and announces versions."""
 
 import random
 from typing import NamedTuple
@@ -39,7 +39,10 @@
 
 
 class Configuration:
-    """Keeps the newest confirmed version in force at this node, and tells whether it is."""
+    """Keeps the newest confirmed version of the configuration in force at this node.
+
+    ``polls`` counts the reads of the head row.
+    """
 
     def __init__(self, loop, settings, incarnation, platform, gossip, open_link, log):
         self._loop = loop
@@ -66,7 +69,7 @@
 
     @property
     def local_version(self):
-        """The :class:`~camphorshelf_core.versions.HeldVersion` of this node."""
+        """The :class:`~camphorshelf_core.versions.LocalVersion` of this node."""
         return self._local_version
 
     @property
@@ -76,38 +79,38 @@
 
     @property
     def weights(self):
-        """Service -> target -> weight of 0 to 100; one not named has the full weight."""
+        """Maps service to target to weight (0 to 100); targets without an entry have weight 100."""
         return self._weights
 
     def is_leaving(self, service, target, domain):
-        """Tell whether operators want a target to leave, by itself or with its failure domain.
+        """Return whether operators want a target to leave, alone or with its failure domain.
 
         :param service: the service's name.
         :param target: the target's name.
-        :param domain: its failure domain.
+        :param domain: the target's failure domain.
         :return: True or False.
         """
         is_domain_leaving = (service, domain) in self._leaving_domains
         return is_domain_leaving or (service, target) in self._leaving_targets
 
     def find_refusal(self):
-        """Tell why this node must take no calls now.
+        """Find out whether this node must refuse calls now.
 
-        :return: a :class:`~camphorshelf_core.errors.Refusal`, or None.
+        :return: a :class:`~camphorshelf_core.errors.Refusal`, or None if it may accept calls.
         """
         return self._local_version.find_refusal(self._loop.now())
 
     def on_change(self, callback):
-        """Hear of each version that comes into force, and of the one that is.
+        """Call a function now and whenever a new version comes into force.
 
-        :param callback: takes no argument.
+        :param callback: called without arguments.
         :return: None.
         """
         self._listeners.append(callback)
         callback()
 
     def start(self):
-        """Prove the version in force and begin to spread.
+        """Start to prove the version in force and to exchange versions with peers.
 
         :return: None.
         """
@@ -117,19 +120,19 @@
         self._request_proof()
 
     def install_confirmed(self, head, body):
-        """Put in force what this node has just seen confirmed.
+        """Put a version in force that was confirmed through this node.
 
-        :param head: the :class:`~camphorshelf_core.config.Head`.
-        :param body: the bytes of its body.
+        :param head: the version's :class:`~camphorshelf_core.config.Head`.
+        :param body: the bytes of the version's body.
         :return: None.
         """
         self._install_body(body, head.digest, self._settings.listen.peers)
 
     def answer_peer(self, message, reply):
-        """Answer a peer that tells its version and asks for this node's.
+        """Answer a peer that announces its version and requests this node's version.
 
-        :param message: its :class:`VersionRequestMessage`.
-        :param reply: takes the answer.
+        :param message: the peer's :class:`VersionRequestMessage`.
+        :param reply: called with the :class:`VersionMessage`.
         :return: None.
         """
         local_version, now = self._local_version, self._loop.now()
@@ -151,12 +154,13 @@
             self._fetch(_BodySource(message.version, message.digest, message.address))
 
     def announce_version(self, link, address):
-        """Tell a peer the version before the next message if it was not told yet.
+        """Announce the version in force on a link, unless it was announced there already.
 
-        Messages of one link arrive in order, so each is read by a peer that has heard of the
-        version by which it was sent; a link on which nothing changed carries nothing for it.
+        Called before each call on the link. Messages on a link arrive in order, so the peer knows
+        the version that a call was routed by before it reads the call. Nothing is sent while the
+        version stays the same.
 
-        :param link: the :class:`~camphorshelf_node.links.PeerLink` about to be used.
+        :param link: the :class:`~camphorshelf_node.links.PeerLink` that is about to be used.
         :param address: the peer's address.
         :return: None.
         """
@@ -165,10 +169,10 @@
             self._request_version(address, want_body=False, link=link)
 
     def observe_peer_version(self, address, version):
-        """Take note of the version that rode on a peer's answer.
+        """Process the version number in a peer's answer, and fetch the version if it is newer.
 
-        :param address: the peer's.
-        :param version: its number.
+        :param address: the peer's address.
+        :param version: the version's number.
         :return: None.
         """
         if version > self._local_version.version and self._local_version.observe_version(
@@ -181,7 +185,7 @@
         if self._peers is None and self._should_choose_partners():
             self._choose_partners()
         if self._local_version.record_activity(now, self._max_roster_size > 1):
-            self._log.info("woken after a freeze: the configuration has to be proved again")
+            self._log.info("the process was frozen: the configuration must be proved again")
             self._retry_delay = _FIRST_RETRY_SECONDS
             self._request_proof()
         self._ticks += 1
@@ -190,14 +194,14 @@
             self._maybe_poll()
 
     def _request_proof(self):
-        """Ask the platform and all partners, again and again until the version is proved."""
+        """Ask the platform and all partners for their versions, and repeat until it is proved."""
         if self._local_version.proved_by is not None:
             return
         self._poll_head()
         for address in self._partners or self._settings.roster.contacts:
             self._request_version(address, want_body=False)
-        # All nodes may wake or start at the same moment; without the spread and the growing
-        # wait their questions would take the whole of the table's reads.
+        # All nodes may start or resume at the same time. Without jitter and exponential backoff,
+        # their requests would use up the table's read capacity.
         self._retry_delay = min(_MAX_RETRY_SECONDS, self._retry_delay * 2)
         epoch = self._local_version.epoch
         delay = self._retry_delay * self._random.uniform(0.5, 1.0)
@@ -268,10 +272,9 @@
             self._fetch(_BodySource(version, digest, address))
 
     def _fetch(self, source):
-        """Get a body from the peer that has it, or else from the object store."""
+        """Fetch a body from the peer that announced it, otherwise from the object store."""
         if self._current_fetch is not None:
-            # One fetch at a time: a burst of confirms must not become a burst of bodies, of
-            # which all but the last are of no use.
+            # Only one fetch at a time: after a burst of confirms only the last body is needed.
             if self._next_fetch is None or source.version > self._next_fetch.version:
                 self._next_fetch = source
             return
@@ -321,15 +324,16 @@
         self._peers = None
 
     def _should_choose_partners(self):
-        # Choosing hashes every member's name: some 6 ms at 2,100, which each of many restarts
-        # would cost again; a partner that is missing for a few seconds is one of four.
+        # The choice hashes every member's name, which takes 6 ms with 2,100 members. While many
+        # nodes restart it isn't repeated for each change; a node can do without one of its four
+        # partners for a few seconds.
         return (
             self._max_roster_size < _LARGE_ROSTER_MEMBERS
             or self._ticks % _TICKS_PER_LARGE_ROSTER_CHOICE == 0
         )
 
     def _choose_partners(self):
-        """Choose the partners among the members that are in use."""
+        """Choose the partners from the members in use."""
         own, settings = self._settings.name, self._settings
         members = self._gossip.membership.replica.members()
         self._peers = {
--- a/packages/node/src/camphorshelf_node/crashes.py
+++ b/packages/node/src/camphorshelf_node/crashes.py
@@ -1,22 +1,22 @@
-"""Tells a target that died from one that cut an answer short."""
+"""Distinguishes a crashed target from one that only closed a connection."""
 
 from collections import deque
 
 from .streams import dial
 
-# A dying process loses all its connections and its listening socket within a millisecond or
-# so; the calls of one death are gathered this long before the target is dialled.
+# The connections and the listening socket of a crashed process close within about a millisecond.
+# Lost calls are collected for this time before the target is checked.
 _COLLECT_SECONDS = 0.01
-# A call that its caller gave up may crash the target a little later all the same.
+# A call may still crash the target after it was abandoned.
 _ABANDONED_CALL_SECONDS = 10.0
 _MAX_ABANDONED_CALLS = 32
 
 
 class CrashDetector:
-    """Holds back the answers of lost calls until it is known whether the target died.
+    """Delays the results of lost calls until it is known whether the target has crashed.
 
-    A lost connection alone is no crash: a target may close one after an error. Refused
-    connections right after it are: nobody listens any more.
+    A lost connection alone is no crash: a target may close a connection after an error. If it also
+    refuses a new connection right afterwards, its process has ended.
     """
 
     def __init__(self, loop, quarantine):
@@ -27,10 +27,10 @@
         self.address = None
 
     def record_lost(self, local_call, reason):
-        """Take in a call whose connection was lost in the middle.
+        """Record a call whose connection was lost before the response was complete.
 
-        :param work: the :class:`~camphorshelf_node.work.Work`.
-        :param reason: what happened.
+        :param local_call: the :class:`~camphorshelf_node.localcall.LocalCall`.
+        :param reason: how the connection was lost.
         :return: None.
         """
         self._lost_calls.append((local_call, reason))
@@ -38,7 +38,7 @@
             self._loop.call_later(_COLLECT_SECONDS, self._check_target)
 
     def record_abandoned(self, call):
-        """Take in a call that was given up while the target worked on it.
+        """Record a call that was abandoned while the target was running it.
 
         :param call: the :class:`~camphorshelf_core.messages.CallMessage`.
         :return: None.
--- a/packages/node/src/camphorshelf_node/decisions.py
+++ b/packages/node/src/camphorshelf_node/decisions.py
@@ -1,4 +1,4 @@
-"""Keeps the node's last decisions, so that operators can ask why a call went where it did."""
+"""Keeps the node's latest decisions, so that operators can ask why a call was routed as it was."""
 
 import time
 from collections import deque
@@ -6,7 +6,7 @@
 
 
 class Decision(NamedTuple):
-    """One routing or placement decision; ``at`` is the wall clock's time."""
+    """A routing or placement decision; ``at`` is Unix time in seconds."""
 
     at: float
     kind: str
@@ -14,7 +14,7 @@
 
 
 class DecisionLog:
-    """The newest decisions in a ring of fixed size, so that its memory is bounded."""
+    """The latest decisions, in a ring buffer of fixed size."""
 
     def __init__(self, limit):
         self._decisions = deque(maxlen=limit)
@@ -23,10 +23,10 @@
         return len(self._decisions)
 
     def record(self, kind, fields):
-        """Keep a decision in place of the oldest one.
+        """Add a decision; if the log is full, the oldest one is dropped.
 
-        :param kind: what was decided.
-        :param fields: its reasons.
+        :param kind: the kind of decision.
+        :param fields: the decision's inputs and result.
         :return: None.
         """
         self._decisions.append(Decision(time.time(), kind, fields))
@@ -34,7 +34,7 @@
     def find(self, call):
         """Find the decisions about a call.
 
-        :param call: the id that its answer carried.
+        :param call: the call's id, which its response contains.
         :return: a list of :class:`Decision`, oldest first.
         """
         return [decision for decision in self._decisions if decision.fields.get("call") == call]
--- a/packages/node/src/camphorshelf_node/descriptions.py
+++ b/packages/node/src/camphorshelf_node/descriptions.py
@@ -1,15 +1,16 @@
-"""The documents that tell operators of targets and plans."""
+"""Builds the documents that describe targets and plans in the administration API."""
 
 from camphorshelf_core.config import TargetIntent
 
 
 def describe_target(name, candidate, intent):
-    """Tell what is known and wanted of a target.
+    """Describe the state of a target and the operators' intent for it.
 
     :param name: the target's name.
-    :param candidate: what routing knows of it, or None.
-    :param intent: its :class:`TargetIntent`, or None.
-    :return: a document.
+    :param candidate: the target's :class:`~camphorshelf_core.routing.Candidate`, or None if this
+        node does not know the target.
+    :param intent: the target's :class:`TargetIntent`, or None.
+    :return: the document.
     """
     intent = intent or TargetIntent()
     document = {"target": name, "state": intent.state, "weight": intent.weight}
@@ -26,10 +27,10 @@
 
 
 def describe_plan(planned):
-    """Tell what a plan does.
+    """Describe a plan.
 
-    :param planned: the stored :class:`~camphorshelf_core.confirm.Planned`.
-    :return: a document.
+    :param planned: the :class:`~camphorshelf_core.confirm.StoredPlan`.
+    :return: the document.
     """
     plan = planned.plan
     return {
--- a/packages/node/src/camphorshelf_node/gossip.py
+++ b/packages/node/src/camphorshelf_node/gossip.py
@@ -1,4 +1,4 @@
-"""Moves the membership's datagrams and tells controllers what changed."""
+"""Sends and receives the membership protocol's datagrams and reports changes to listeners."""
 
 import random
 import socket
@@ -18,7 +18,11 @@
 
 
 class Gossip:
-    """Speaks with other members over UDP, at the address where peers also dial in."""
+    """The membership protocol over UDP, on the same address as the node's peer listener.
+
+    ``received_bytes`` and ``sent_bytes`` count the membership's traffic, ``bad_datagrams`` the
+    datagrams that could not be decoded.
+    """
 
     def __init__(self, loop, settings, incarnation):
         self._loop = loop
@@ -51,11 +55,11 @@
 
     @property
     def membership(self):
-        """The members and entries that are known."""
+        """The :class:`~camphorshelf_core.membership.Membership`: the known members and entries."""
         return self._membership
 
     def start(self):
-        """Open the socket and begin to ping.
+        """Open the socket and start to ping other members.
 
         :return: None.
         """
@@ -68,21 +72,21 @@
         self._loop.call_every(_TICK_SECONDS, self._tick)
 
     def publish(self, topic, key, version, value):
-        """Make a small fact known to all nodes; the greatest version wins.
+        """Publish an entry to all nodes; for each key the entry with the highest version wins.
 
-        :param topic: what it is about.
-        :param key: which of its topic.
-        :param version: a whole number.
-        :param value: anything that CBOR can carry, below 800 bytes.
+        :param topic: the entry's topic.
+        :param key: the entry's key in its topic.
+        :param version: an integer.
+        :param value: any value that CBOR can encode in less than 800 bytes.
         :return: None.
         """
         self._send(self._membership.publish(topic, key, version, value, self._loop.now()))
 
     def subscribe(self, topic, callback):
-        """Hear of each newer entry of a topic, and of those already known.
+        """Call a function for each known entry of a topic, and for each newer one.
 
-        :param topic: its name.
-        :param callback: takes key, version and value.
+        :param topic: the topic's name.
+        :param callback: called with key, version and value.
         :return: None.
         """
         self._subscribers.setdefault(topic, []).append(callback)
@@ -90,19 +94,19 @@
             callback(entry.key, entry.version, entry.value)
 
     def on_message(self, kind, callback):
-        """Hand messages of a kind that is not the membership's to someone else.
+        """Register a handler for a kind of message that isn't part of the membership protocol.
 
         :param kind: the message's class.
-        :param callback: takes the message and the address it came from.
+        :param callback: called with the message and the sender's ``IP:PORT``.
         :return: None.
         """
         self._handlers[kind] = callback
 
     def send(self, data, address):
-        """Send a datagram that is not the membership's.
+        """Send a datagram that isn't part of the membership protocol.
 
-        :param data: its bytes.
-        :param address: ``IP:PORT``.
+        :param data: the datagram's bytes.
+        :param address: the receiver's ``IP:PORT``.
         :return: None.
         """
         if self._socket is None:
@@ -110,13 +114,13 @@
         try:
             self._socket.sendto(data, split_address(address))
         except OSError:
-            # As with the membership's own: whoever sends it lives with a lost datagram.
+            # Senders of datagrams tolerate losses, as in _send.
             return
 
     def on_member(self, callback):
-        """Hear of each change of a member.
+        """Call a function for each change of a member.
 
-        :param callback: takes the old record (or None) and the new one.
+        :param callback: called with the old record (or None) and the new one.
         :return: None.
         """
         self._member_listeners.append(callback)
@@ -124,30 +128,30 @@
     def change_own(self, **fields):
         """Change this node's own record.
 
-        :param fields: the fields of the record that change.
+        :param fields: the changed fields of the record.
         :return: None.
         """
         self._send(self._membership.change_own(self._loop.now(), **fields))
 
     def leave(self):
-        """Say to others that this node stops.
+        """Announce to other members that this node stops.
 
         :return: None.
         """
         self._send(self._membership.leave(self._loop.now()))
 
     def load_snapshot(self, snapshot):
-        """Take in what another node holds.
+        """Merge another node's members and entries.
 
-        :param snapshot: its :class:`~camphorshelf_core.messages.SnapshotMessage`.
+        :param snapshot: the :class:`~camphorshelf_core.messages.SnapshotMessage`.
         :return: None.
         """
         self._send(self._membership.load_snapshot(snapshot, self._loop.now()))
 
     def ping_address(self, address):
-        """Ping an address of which no member is known.
+        """Ping an address that doesn't belong to a known member.
 
-        :param address: its ``IP:PORT``.
+        :param address: the ``IP:PORT``.
         :return: None.
         """
         self._send(self._membership.ping_address(address, self._loop.now()))
@@ -185,8 +189,8 @@
             try:
                 self._socket.sendto(datagram.data, split_address(datagram.address))
             except OSError:
-                # A full buffer or a vanished route loses a datagram, which the protocol is
-                # made for; raising would end the loop.
+                # The protocol tolerates datagrams that are lost because of a full buffer or a
+                # missing route. An exception would stop the event loop.
                 continue
 
     def _on_member(self, old, new):
--- a/packages/node/src/camphorshelf_node/join.py
+++ b/packages/node/src/camphorshelf_node/join.py
@@ -1,4 +1,4 @@
-"""Brings a starting node into the system: its own row, some contacts, one peer's snapshot."""
+"""Joins a starting node to the system: writes its row, finds contacts and loads a snapshot."""
 
 import random
 
@@ -25,11 +25,11 @@
 
 
 class Join:
-    """Finds peers at the start and looks again now and then.
+    """Finds peers at startup, and reads a few rows from time to time afterwards.
 
-    A table read of all members by every starting node would be members squared: 470 restarts
-    at 2,100 members are a million rows. So a node reads at most 16 rows from a random place on
-    and takes the rest from one peer.
+    If every starting node read the rows of all members, the number of reads would be quadratic: 470
+    restarts with 2,100 members read a million rows. So a node reads at most 16 rows, beginning at a
+    random key, and gets all other members from one peer's snapshot.
     """
 
     def __init__(self, loop, settings, gossip, platform, log):
@@ -44,11 +44,11 @@
 
     @property
     def is_joined(self):
-        """Whether a peer's snapshot was taken in, or there is no other node."""
+        """Whether a peer's snapshot was loaded, or no other node exists."""
         return self._joined
 
     def start(self):
-        """Look for peers until one is found, and from then on now and then.
+        """Write this node's row, look for a peer until one is found, and start to poll rows.
 
         :return: None.
         """
@@ -57,7 +57,7 @@
         self._schedule_poll()
 
     def write_row(self):
-        """Write this node's row, so that starting nodes find it.
+        """Write this node's row, by which starting nodes find it.
 
         :return: None.
         """
@@ -65,10 +65,10 @@
         self._platform.put(PARTITION, row_key(own.node), pack_member(own), self._on_written)
 
     def answer_snapshot(self, message, reply):
-        """Give a starting node all that this one holds.
+        """Answer a starting node with all members and entries that this node knows.
 
-        :param message: its :class:`SnapshotRequestMessage`.
-        :param reply: takes the answer.
+        :param message: the :class:`SnapshotRequestMessage`.
+        :param reply: called with the :class:`SnapshotMessage`.
         :return: None.
         """
         reply(self._gossip.membership.make_snapshot(message.call_id))
@@ -95,7 +95,7 @@
         addresses.update(self._settings.roster.contacts)
         addresses.discard(own)
         if rows is not None and not addresses:
-            self._finish("no other node is known")
+            self._finish("no other node exists")
             return
         contacts = sorted(addresses)
         self._random.shuffle(contacts)
@@ -113,7 +113,7 @@
 
     def _on_snapshot(self, snapshot, address):
         self._gossip.load_snapshot(snapshot)
-        self._finish(f"took {len(snapshot.members)} members from {address}")
+        self._finish(f"loaded {len(snapshot.members)} members from {address}")
 
     def _finish(self, reason):
         self._joined = True
@@ -124,7 +124,7 @@
         self._loop.call_later(poll_seconds(members, self._random), self._poll)
 
     def _poll(self):
-        """Read a few rows, so that two groups that started apart find each other."""
+        """Read some rows, so that groups of nodes that started separately find each other."""
         self._schedule_poll()
         self._query_rows(self._on_polled)
         key = row_key(self._gossip.membership.own.node)
@@ -136,9 +136,9 @@
             row = _read_row(data)
             member = None if row is None else replica.member(row.node)
             if member is not None and is_stale(member, self._loop.now() - replica.changed_at(row)):
-                # Hosts are replaced under new names; their rows would pile up until a starting
-                # node finds only dead contacts. Deleted only if unchanged, so the row of a
-                # host that came back at this moment stays.
+                # Replaced hosts get new names, and their old rows would accumulate until a starting
+                # node finds only dead contacts. A row is deleted only if it is unchanged, in case
+                # its host has just come back.
                 self._platform.delete_if_same(PARTITION, key, data, lambda outcome: None)
             elif row is not None and (member is None or not member.in_use):
                 self._gossip.ping_address(row.address)
@@ -154,7 +154,7 @@
 
 
 def _read_row(data):
-    """Read a member's record; a row that is none must not keep a node down."""
+    """Decode a member's record; return None if it is invalid, so that the node still starts."""
     try:
         return unpack_member(data)
     except ProtocolError:
--- a/packages/node/src/camphorshelf_node/leavingtargets.py
+++ b/packages/node/src/camphorshelf_node/leavingtargets.py
@@ -1,18 +1,18 @@
-"""Tells entry nodes which targets leave, ahead of being turned away at their gates."""
+"""Announces leaving targets to entry nodes, so that they stop sending calls to them."""
 
 import time
 
 _TOPIC = "leaving"
-# How long a report's word stands without news: long enough for gossip to confirm it, and short
-# enough for a target whose return was not heard of to be asked again.
+# How long a target counts as leaving after a load report said so. Long enough for gossip to confirm
+# it, and short enough that a target is tried again if the end of its leaving wasn't announced.
 _REPORT_LIFETIME_SECONDS = 5.0
 
 
 class LeavingTargets:
-    """The targets known to leave.
+    """The targets that are known to be leaving.
 
-    The gate of a leaving target is what keeps calls out; this only spares callers the way
-    there. A leaving target gets no calls, so no answer would tell of its return: the news does.
+    A leaving target's own node refuses new calls; this class only avoids the refused attempts.
+    Since a leaving target gets no calls, no load report tells when it stops leaving: gossip does.
     """
 
     def __init__(self, loop, gossip, name):
@@ -26,18 +26,18 @@
         gossip.subscribe(_TOPIC, self._on_entry)
 
     def is_leaving(self, target):
-        """Tell whether a target is known to leave.
+        """Return whether a target is known to be leaving.
 
-        :param target: its name.
+        :param target: the target's name.
         :return: True or False.
         """
         return target in self._leaving or self._loop.now() < self._reported_until.get(target, 0.0)
 
     def record_report(self, target, load):
-        """Take in the report that came with an answer.
+        """Record the load report of a target.
 
         :param target: the target's name.
-        :param load: its :class:`~camphorshelf_core.load.LoadReport`.
+        :param load: the :class:`~camphorshelf_core.load.LoadReport`.
         :return: None.
         """
         if load.leaving:
@@ -46,9 +46,9 @@
             self._reported_until.pop(target, None)
 
     def publish_own(self, leaving):
-        """Tell others whether the target beside this node leaves, when that changed.
+        """Announce whether the target on this host is leaving, if that has changed.
 
-        :param leaving: True or False.
+        :param leaving: whether the target is leaving.
         :return: None.
         """
         if leaving != self._is_own_leaving:
@@ -62,7 +62,8 @@
     def _on_entry(self, target, version, leaving):
         if target == self._name:
             self._version = max(self._version, version)
-            # Said by this node before its restart; left alone it would keep its target idle.
+            # This node published the entry before its restart. If it is outdated, it would keep
+            # calls away from the target.
             if bool(leaving) != self._is_own_leaving:
                 self._publish()
         elif leaving:
--- a/packages/node/src/camphorshelf_node/load.py
+++ b/packages/node/src/camphorshelf_node/load.py
@@ -1,4 +1,4 @@
-"""The controller that keeps what this entry node knows of each target's load and health."""
+"""Tracks the load, health and weight of each target, as seen by this entry node."""
 
 from camphorshelf_core.health import OutlierDetector
 from camphorshelf_core.hedge import indicates_slow_target
@@ -8,15 +8,18 @@
 from camphorshelf_core.spill import RoundTripEstimate
 from camphorshelf_core.subset import choose_subset, subset_size
 
-# Members heard of this soon after the node's own start were there before it: they are not cold.
+# Members that become known this soon after the node's own start are older than it: no warm-up.
 _STARTUP_SECONDS = 5.0
 _FULL_WEIGHT = 100
-# Beside those looked at for a call, to make up for some that take no work.
+# Sampled in addition to the choices of a call, since some targets may not accept calls.
 _EXTRA_CANDIDATES = 4
 
 
 class LoadTracker:
-    """Own calls in flight, reports with their age, health and weights, by target."""
+    """Own calls in flight, load reports, health and weights by target.
+
+    ``round_trip`` is the :class:`~camphorshelf_core.spill.RoundTripEstimate`.
+    """
 
     def __init__(self, loop, settings, roster, configuration, gossip, leaving_targets, random):
         self._loop = loop
@@ -37,20 +40,20 @@
 
     @property
     def ejections(self):
-        """How often a target was ejected."""
+        """The number of ejections of targets."""
         return sum(detector.ejections for detector in self._detectors.values())
 
     def candidates(self, service):
-        """List targets of a service with what is known of them: those used, or some at random.
+        """List the targets to choose from for a call: a random sample of the service's subset.
 
-        :param service: its name.
+        :param service: the service's name.
         :return: a list of :class:`Candidate`.
         """
         now = self._loop.now()
         detector = self._detector(service)
         settings = self._settings
-        # Putting a candidate together takes 5 us and more; for a whole subset that would be a
-        # good part of what a call may be held up in all.
+        # Building a candidate takes at least 5 us. For a whole subset this would add up to a large
+        # part of the delay that a node may add to a call.
         count = settings.entry.choices + _EXTRA_CANDIDATES
         sampled = sample_targets(
             self._subset(service), settings.failure_domain, count, self._random
@@ -58,9 +61,9 @@
         return [self._candidate(member, detector, now) for member in sampled]
 
     def all_candidates(self, service):
-        """List all targets of a service, also those that this node does not use.
+        """List all targets of a service, including those outside this node's subset.
 
-        :param service: its name.
+        :param service: the service's name.
         :return: a list of :class:`Candidate`.
         """
         now = self._loop.now()
@@ -69,7 +72,7 @@
         return [self._candidate(member, detector, now) for member in members]
 
     def apply_weights(self):
-        """Take the weights of the version in force; targets left out have the full weight.
+        """Apply the weights of the version in force; targets without a weight get the full one.
 
         :return: None.
         """
@@ -91,7 +94,7 @@
             self._weights[target].move_to(new_weight, now)
 
     def record_sent(self, target):
-        """Count a call on its way to a target.
+        """Record that a call was sent to a target.
 
         :param target: the target's name.
         :return: None.
@@ -99,11 +102,11 @@
         self._view(target).record_sent()
 
     def record_done(self, target, load, latency_ms=None):
-        """Count a call as done.
+        """Record that a call was answered or given up.
 
         :param target: the target's name.
-        :param load: the :class:`LoadReport` that came with the answer, or None.
-        :param latency_ms: how long a good answer took, or None.
+        :param load: the :class:`~camphorshelf_core.load.LoadReport` of the answer, or None.
+        :param latency_ms: the latency of a good answer, otherwise None.
         :return: None.
         """
         view = self._view(target)
@@ -120,12 +123,12 @@
             view.record_latency(latency_ms, now)
 
     def record_overdue(self, target, sent_at, typical_ms):
-        """Tell whether a call that is overdue speaks against its target, and remember it.
+        """Record an overdue call if it indicates a slow target.
 
         :param target: the target's name.
-        :param sent_at: when the call was sent.
+        :param sent_at: when the call was sent, in seconds on the monotonic clock.
         :param typical_ms: the service's usual latency.
-        :return: True or False.
+        :return: whether the call was recorded.
         """
         view = self._view(target)
         if not indicates_slow_target(view, sent_at, typical_ms):
@@ -134,10 +137,10 @@
         return True
 
     def record_overdue_done(self, target, given_up_ms):
-        """Take note that a call that was overdue has ended.
+        """Record the end of a call that was recorded as overdue.
 
         :param target: the target's name.
-        :param given_up_ms: how long it took until it was given up, None when it was answered.
+        :param given_up_ms: how long the call took until it was given up; None if it was answered.
         :return: None.
         """
         view = self._view(target)
@@ -146,22 +149,22 @@
             view.record_slow(given_up_ms, self._loop.now())
 
     def record_report(self, target, load):
-        """Take in the report that answers a probe.
+        """Record the load report of a probe's answer.
 
         :param target: the target's name.
-        :param load: the :class:`LoadReport`.
+        :param load: the :class:`~camphorshelf_core.load.LoadReport`.
         :return: None.
         """
         self._view(target).record_report(load, self._loop.now())
         self._leaving_targets.record_report(target, load)
 
     def record_outcome(self, service, target, failed):
-        """Take in whether a call's outcome speaks against its target.
+        """Record the outcome of a call for outlier detection.
 
         :param service: the service's name.
         :param target: the target's name.
-        :param failed: True or False.
-        :return: whether the target was ejected by this.
+        :param failed: whether the outcome counts as a failure of the target.
+        :return: whether this outcome ejected the target.
         """
         names = [member.node for member in self._subset(service)]
         return self._detector(service).record(target, failed, names, self._loop.now())
@@ -232,8 +235,8 @@
             return
         if is_known and old.target == new.target:
             return
-        # A replaced host starts anew: its forerunner's clock, load and health say nothing of it.
-        # Calls that are still counted at the forerunner keep the view until they are done.
+        # The clock, load and health of the previous host or target don't apply to its replacement.
+        # The view stays while calls to the previous one are in flight, since it counts them.
         view = self._views.get(new.node)
         if view is not None and not view.own_in_flight:
             del self._views[new.node]
--- a/packages/node/src/camphorshelf_node/log.py
+++ b/packages/node/src/camphorshelf_node/log.py
@@ -1,7 +1,7 @@
 """The node's log: one line for each routing and placement decision, written in batches.
 
-A line through logbook costs some 30 us, a tenth of a call. So a decision is only noted when it is
-made, and a few times a second all that were noted go through logbook as one record.
+A logbook record takes about 30 us, a tenth of the time for a call. So the lines of decisions are
+buffered, and several times a second all buffered lines are written as one record.
 """
 
 import time
@@ -15,7 +15,7 @@
 
 
 class Log:
-    """Writes structured lines of ``key=value`` through logbook."""
+    """Writes structured log lines of ``key=value`` pairs."""
 
     def __init__(self, name, loop=None, level="INFO", record_decision=None):
         self._logger = logbook.Logger(name, level=logbook.lookup_level(level))
@@ -26,10 +26,10 @@
         self._is_info_enabled = self._logger.level <= logbook.INFO
 
     def decision(self, kind, **fields):
-        """Note the line of a routing or placement decision.
+        """Buffer the line of a routing or placement decision.
 
-        :param kind: what was decided.
-        :param fields: the reasons.
+        :param kind: the kind of decision, which becomes the line's event.
+        :param fields: the decision's inputs and result.
         :return: None.
         """
         if self._record_decision is not None:
@@ -40,7 +40,7 @@
     def info(self, text):
         """Write a line about the node itself.
 
-        :param text: one sentence.
+        :param text: the message, one sentence.
         :return: None.
         """
         if self._is_info_enabled:
@@ -48,9 +48,9 @@
             self.flush()
 
     def fault(self, error):
-        """Write what a fault in the node's own code left, for its developers.
+        """Write the traceback of a fault in the node's own code.
 
-        :param error: an exception or the text of its traceback.
+        :param error: the exception, or its formatted traceback.
         :return: None.
         """
         if isinstance(error, BaseException):
@@ -60,7 +60,7 @@
         self._logger.error(f"{line}\n{error.rstrip()}")
 
     def flush(self):
-        """Write what was noted.
+        """Write the buffered lines.
 
         :return: None.
         """
--- a/packages/node/src/camphorshelf_node/main.py
+++ b/packages/node/src/camphorshelf_node/main.py
@@ -1,4 +1,4 @@
-"""The command line of the node."""
+"""The node's command-line interface."""
 
 import os
 import sys
@@ -13,10 +13,10 @@
 
 
 def run(settings, log_level="INFO"):
-    """Run a node until it is told to stop.
+    """Run a node until it is stopped by a signal.
 
-    :param settings: path of the settings file.
-    :param log_level: the least level that is logged.
+    :param settings: the path of the settings file.
+    :param log_level: the lowest level that is logged.
     :return: None.
     """
     result = read_settings(settings)
@@ -24,14 +24,14 @@
         print(result.failure(), file=sys.stderr)
         sys.exit(EXIT_BAD_SETTINGS)
     level = logbook.get_level_name(logbook.lookup_level(log_level.upper()))
-    # The library for command lines brings asyncio and more into memory for good. The node runs
-    # as the same process with a fresh memory that never sees it.
+    # The command-line library imports asyncio and other modules that the node doesn't need. The
+    # exec replaces the process image, so that they don't stay in memory.
     command = [sys.executable, "-m", "camphorshelf_node.serve", settings, level]
     os.execv(sys.executable, command)
 
 
 def main():
-    """Start from the command line.
+    """Run the command line.
 
     :return: None.
     """
--- a/packages/node/src/camphorshelf_node/metrics.py
+++ b/packages/node/src/camphorshelf_node/metrics.py
@@ -1,8 +1,8 @@
-"""The node's metrics: counted in plain numbers, read by OpenTelemetry when they are asked for.
+"""The node's metrics, counted here and read by OpenTelemetry's observable instruments.
 
-A record with an OpenTelemetry instrument costs 18 us on the machine of the bench, against 2.5 us
-for a histogram's record and 0.1 us for a plain count. So calls are counted here, and observable
-instruments read the counts at each pull; there is no exporter thread.
+On the benchmark machine, recording a value with an OpenTelemetry instrument takes 18 us, recording
+it in a histogram 2.5 us, and incrementing a counter 0.1 us. So calls are counted here, and
+observable instruments read the counts for each scrape; there is no exporter thread.
 """
 
 from collections import Counter
@@ -22,7 +22,7 @@
 
 
 class Metrics:
-    """Counts what the node does and tells it in Prometheus' text form."""
+    """Counts calls and renders all metrics in Prometheus' text format."""
 
     def __init__(self, loop):
         self._loop = loop
@@ -48,10 +48,10 @@
         loop.call_every(_WINDOW_SECONDS, self._rotate)
 
     def record_answer(self, exchange, code):
-        """Count a call that was answered.
+        """Record the result and the duration of an answered call.
 
         :param exchange: the :class:`~camphorshelf_node.exchange.Exchange`.
-        :param code: its result code as a number.
+        :param code: the result code, as a number or a :class:`~camphorshelf_core.errors.Code`.
         :return: None.
         """
         self._calls[exchange.service, int(code)] += 1
@@ -59,11 +59,11 @@
         self._durations.record_value(max(1, duration))
 
     def add_gauge(self, name, description, read_value):
-        """Tell a number that changes both ways.
+        """Add a gauge.
 
-        :param name: its name behind ``camphorshelf.``.
-        :param description: what it tells, in a sentence.
-        :param read: a function that gives the number of this moment.
+        :param name: the metric's name without the prefix ``camphorshelf.``.
+        :param description: a sentence that describes the metric.
+        :param read_value: a function that returns the current value.
         :return: None.
         """
         self._meter.create_observable_gauge(
@@ -73,14 +73,14 @@
         )
 
     def render(self):
-        """Read everything.
+        """Render all metrics.
 
-        :return: Prometheus' text form.
+        :return: Prometheus' text format.
         """
         return generate_latest(REGISTRY).decode()
 
     def close(self):
-        """Forget the instruments, so that another one can be made in the process.
+        """Remove the instruments, so that the process can create another instance.
 
         :return: None.
         """
--- a/packages/node/src/camphorshelf_node/node.py
+++ b/packages/node/src/camphorshelf_node/node.py
@@ -1,4 +1,4 @@
-"""One node: its loop, listeners, controllers and filter chain."""
+"""Assembles a node: event loop, listeners, controllers and filter chain."""
 
 import os
 import random
@@ -66,7 +66,10 @@
 
 
 class Node(Component):
-    """Everything that runs in one node process."""
+    """A node process.
+
+    ``incarnation`` is a random identifier of the process: it changes with each restart.
+    """
 
     channel = "node"
 
@@ -212,26 +215,26 @@
 
     @property
     def ready(self):
-        """Whether callers should send requests here."""
+        """Whether callers should send requests to this node."""
         return self.find_unready_reason() is None
 
     def find_unready_reason(self):
-        """Tell why callers should not send requests here.
+        """Find the reason why callers should not send requests to this node.
 
-        :return: a sentence, or None when they should.
+        :return: a sentence, or None if the node is ready.
         """
         if self._stopping:
             return "the node is stopping"
         if self._gossip.membership.superseded:
-            return "another process of this node has been started"
+            return "another process has been started for this node"
         if not self._join.is_joined:
-            return "the node has not found its peers yet"
+            return "the node has not joined its peers yet"
         refusal = self._configuration.find_refusal()
         return None if refusal is None else refusal.reason
 
     @property
     def entry_counts(self):
-        """What the entry side of this node has counted, by name."""
+        """The counters of this node's entry side, by name."""
         scheduler = self._probes.scheduler
         return {
             **self._call_dispatcher.counts,
@@ -249,20 +252,20 @@
 
     @property
     def gatekeeper(self):
-        """The guard of the target beside this node."""
+        """The :class:`AdmissionController` of the target on this host."""
         return self._admission_controller
 
     @property
     def quarantine(self):
-        """What is known of requests that crash targets."""
+        """The :class:`QuarantineController`."""
         return self._quarantine
 
     def announce(self, target, instance=None, leaving=None):
-        """Take an announcement of the target beside this node.
+        """Process an announcement of the target on this host.
 
-        :param target: the announcement.
-        :param instance: names the target's process, where it says so.
-        :param leaving: whether the target wants to leave, where it says so.
+        :param target: the :class:`~camphorshelf_core.roster.Announcement`.
+        :param instance: an identifier of the target's process, or None if it sent none.
+        :param leaving: whether the target wants to leave, or None if it doesn't say.
         :return: None.
         """
         if self._admission_controller.announce(target, instance, leaving):
@@ -291,20 +294,20 @@
         self._log.info(f"listening for callers on {self.settings.listen.callers}")
 
     def _on_signal(self, _number, _frame):
-        # circuits would raise SystemExit in a handler here, which leaves its loop spinning
-        # and deaf; the loop itself ends the node instead.
+        # circuits would raise SystemExit in an event handler, after which its loop spins without
+        # processing events. So the node is stopped by the loop itself.
         if self._stopping:
             os._exit(1)
         self._stopping = True
         self._loop.interrupt(self._begin_stop)
 
     def _begin_stop(self):
-        self._log.info("stopping: no new callers, waiting for what is in flight")
+        self._log.info("stopping: no new connections are accepted, waiting for calls in flight")
         self._gossip.leave()
         drain(self._loop, self._callers, self._peers, self._finish_stop)
 
     def _finish_stop(self):
-        self._log.info("stopped: nothing is in flight")
+        self._log.info("stopped: no calls are in flight")
         self.stop()
 
     def _add_gauges(self):
--- a/packages/node/src/camphorshelf_node/operators.py
+++ b/packages/node/src/camphorshelf_node/operators.py
@@ -1,4 +1,4 @@
-"""The operators' part of the administration API: plan, confirm, state, history, explanation."""
+"""The operators' part of the administration API: status, plans, history and quarantines."""
 
 import json
 import time
@@ -26,7 +26,7 @@
 
 
 class Operators:
-    """Answers requests that carry an operator's token; without one nothing is told."""
+    """Handles operators' requests; each of them must carry an operator's token."""
 
     def __init__(
         self, settings, configuration, platform, roster, load_tracker, decisions, quarantine
@@ -48,10 +48,10 @@
         }
 
     def handle(self, request, reply):
-        """Answer a request.
+        """Handle a request.
 
         :param request: the :class:`~camphorshelf_node.admin.AdminRequest`.
-        :param reply: takes the HTTP status and the document.
+        :param reply: called with the HTTP status and the document of the response.
         :return: None.
         """
         operator = None
@@ -63,7 +63,7 @@
             return
         route, argument = self._find_route(request.path)
         if route is None:
-            reply_refusal(reply, Refusal(Code.UNKNOWN_RESOURCE, "there is no such resource"))
+            reply_refusal(reply, Refusal(Code.UNKNOWN_RESOURCE, "this path does not exist"))
         elif request.method not in route:
             allowed = ", ".join(sorted(route))
             reply_refusal(reply, Refusal(Code.WRONG_METHOD, f"allowed here: {allowed}"))
@@ -113,7 +113,10 @@
         }
 
     def _can_see(self, operator, service):
-        """Rivals share the platform: a team sees what it owns or may own, and no more."""
+        """Return whether an operator's team owns a service, or may own it while it has no owner.
+
+        Competitors share the platform, so a team can't see other teams' services.
+        """
         config = self._configuration.services.get(service)
         if config is not None and config.owner:
             return config.owner == operator.team
@@ -143,9 +146,9 @@
     def _show_plan(self, operator, _request, digest, reply):
         def done(result):
             if isinstance(result, StoredPlan) and operator.team not in result.plan.confirmers:
-                # Told in the same words as a plan that is not there: another team's plans are
-                # not to be found out by asking.
-                result = Refusal(Code.UNKNOWN_PLAN, "there is no plan of this digest")
+                # The same answer as core's for a plan that doesn't exist, so that it doesn't reveal
+                # whether another team has such a plan.
+                result = Refusal(Code.UNKNOWN_PLAN, "there is no plan with this digest")
             _reply_plan(reply, result, status=200)
 
         run_steps(read_plan_steps(digest), self._platform, done)
@@ -164,7 +167,7 @@
         run_steps(confirm_steps(digest, operator), self._platform, done)
 
     def _plan_on_newest(self, operator, digest, conflict, reply):
-        """Give the loser of a race what its changes would do to the winner's version."""
+        """Reply to a conflict with a new plan of the same changes, based on the newest version."""
 
         def done(result):
             fresh_plan = describe_plan(result) if isinstance(result, StoredPlan) else None
@@ -216,7 +219,7 @@
             if self._can_see(operator, one.fields.get("service"))
         ]
         if not matching:
-            reason = "this node remembers no decision about such a call of your services"
+            reason = "this node keeps no decision about a call with this id to your services"
             reply_refusal(reply, Refusal(Code.UNKNOWN_CALL, reason))
             return
         decisions = [{"at": one.at, "kind": one.kind, **one.fields} for one in matching]
--- a/packages/node/src/camphorshelf_node/platform.py
+++ b/packages/node/src/camphorshelf_node/platform.py
@@ -28,12 +28,12 @@
 _MAX_CONNECTIONS = 8
 _MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 _TABLE_API_VERSION = "DynamoDB_20120810"
-# Reads and writes that nobody waits for leave half of the budget to those that somebody does.
+# Background requests, which nobody waits for, must leave this share of the budget to the others.
 _BACKGROUND_RESERVE_SHARE = 0.5
 
 
 class Platform:
-    """Reads and writes rows and objects; every outcome comes later, by callback."""
+    """Reads and writes rows and objects; results are always passed to a callback later."""
 
     def __init__(self, loop, settings):
         self._loop = loop
@@ -48,24 +48,24 @@
 
     @property
     def retry_after(self):
-        """Seconds until the platform is tried again; 0 while it answers."""
+        """Seconds until the next attempt after failures; 0 while the platform answers."""
         return self._circuit.retry_after(self._loop.now())
 
     @property
     def time(self):
-        """The platform's own clock in seconds since 1970, or None before its first answer."""
+        """The platform's clock as Unix time in seconds, or None before its first response."""
         if self._date is None:
             return None
         date, read_at = self._date
         return parsedate_to_datetime(date).timestamp() + self._loop.now() - read_at
 
     def put(self, partition, key, data, on_done):
-        """Write a row whatever there is.
+        """Write a row unconditionally.
 
         :param partition: the row's partition.
-        :param key: the row's key in it.
+        :param key: the row's key in the partition.
         :param data: the row's bytes.
-        :param on_done: takes True, or None when the outcome is unknown.
+        :param on_done: called with True, or with None if the row was not or may not be written.
         :return: None.
         """
 
@@ -75,14 +75,14 @@
         self._write("PutItem", describe_put(Put(partition, key, data, 1, conditional=False)), done)
 
     def put_if(self, partition, key, data, expected, on_done, version=None):
-        """Write a row if it is still as expected.
+        """Write a row if it still has the expected version.
 
         :param partition: the row's partition.
-        :param key: the row's key in it.
+        :param key: the row's key in the partition.
         :param data: the row's bytes.
-        :param expected: the version to replace, or None when there must be no row.
-        :param on_done: takes a :class:`Written`.
-        :param version: the new version; the expected one plus one if left out.
+        :param expected: the version to replace, or None if the row must not exist.
+        :param on_done: called with the :class:`~camphorshelf_core.table.WriteResult`.
+        :param version: the new version (default: the expected one plus one).
         :return: None.
         """
         if version is None:
@@ -91,12 +91,12 @@
         self._write("PutItem", describe_put(put), on_done)
 
     def put_all_if(self, puts, on_done, background=False):
-        """Write several rows in one transaction if each is still as expected.
+        """Write several rows in one transaction if each still has its expected version.
 
-        :param puts: :class:`~camphorshelf_node.rows.Put` of different rows.
-        :param on_done: takes a list of :class:`Written`, one for each; when a condition failed,
-            those whose own held are ``NOT_APPLIED``.
-        :param background: whether nobody waits for it.
+        :param puts: a list of :class:`~camphorshelf_node.rows.Put` of different rows.
+        :param on_done: called with a list of :class:`~camphorshelf_core.table.WriteResult`, one for
+            each row. If a condition fails, the rows whose condition holds are ``NOT_APPLIED``.
+        :param background: whether nobody waits for the result.
         :return: None.
         """
         if len(puts) == 1:
@@ -111,23 +111,23 @@
         self._call_table("TransactWriteItems", body, done, background)
 
     def delete_if_same(self, partition, key, data, on_done):
-        """Delete a row if its bytes are still the same.
+        """Delete a row if its bytes are unchanged.
 
         :param partition: the row's partition.
-        :param key: the row's key in it.
-        :param data: the bytes that were read.
-        :param on_done: takes a :class:`Written`.
+        :param key: the row's key in the partition.
+        :param data: the row's bytes as they were read.
+        :param on_done: called with the :class:`~camphorshelf_core.table.WriteResult`.
         :return: None.
         """
         self._write("DeleteItem", describe_delete(partition, key, data), on_done, background=True)
 
     def get(self, partition, key, on_done):
-        """Read a row, as the last write left it.
+        """Read a row with strong consistency.
 
         :param partition: the row's partition.
-        :param key: the row's key in it.
-        :param on_done: takes ``Success`` of a :class:`Row` or None (no such row), or ``Failure``
-            of an :class:`Outage`.
+        :param key: the row's key in the partition.
+        :param on_done: called with ``Success`` of a :class:`~camphorshelf_core.table.Row` or None
+            (no such row), or ``Failure`` of a :class:`~camphorshelf_core.table.ReadFailure`.
         :return: None.
         """
         body = {
@@ -144,11 +144,11 @@
     def query(self, partition, on_done, limit=None, start_after=None):
         """Read rows of a partition in the order of their keys.
 
-        :param partition: its name.
-        :param on_done: takes a dict of key to bytes, or None when the platform is down.
-        :param limit: the most rows to read (None: all).
-        :param start_after: read the rows whose key is greater; with too few of them, those
-            from the first key on are read as well.
+        :param partition: the partition's name.
+        :param on_done: called with a dict of key to bytes, or None if the read failed.
+        :param limit: the maximum number of rows to read (None: all).
+        :param start_after: read the rows with greater keys; if there are fewer than ``limit``, the
+            read continues at the first key of the partition.
         :return: None.
         """
 
@@ -166,9 +166,9 @@
     def put_object(self, path, data, on_done):
         """Write an object.
 
-        :param path: its path, which starts with a slash.
-        :param data: its bytes.
-        :param on_done: takes a :class:`WriteOutcome`.
+        :param path: the object's path, which starts with a slash.
+        :param data: the object's bytes.
+        :param on_done: called with the :class:`~camphorshelf_core.table.WriteOutcome`.
         :return: None.
         """
         request = Request("PUT", path.encode(), ((b"host", b"objects"),), data)
@@ -187,9 +187,9 @@
     def get_object(self, path, on_done):
         """Read an object.
 
-        :param path: its path, which starts with a slash.
-        :param on_done: takes ``Success`` of its bytes or None (no such object), or ``Failure``
-            of an :class:`Outage`.
+        :param path: the object's path, which starts with a slash.
+        :param on_done: called with ``Success`` of the object's bytes or None (no such object), or
+            ``Failure`` of a :class:`~camphorshelf_core.table.ReadFailure`.
         :return: None.
         """
         request = Request("GET", path.encode(), ((b"host", b"objects"),), b"")
@@ -200,7 +200,9 @@
             elif result.status in (200, 404):
                 on_done(Success(result.body if result.status == 200 else None))
             else:
-                on_done(Failure(ReadFailure(f"the object store answered {result.status}")))
+                on_done(
+                    Failure(ReadFailure(f"the object store answered with status {result.status}"))
+                )
 
         self._send(self._objects, request, done)
 
@@ -235,7 +237,7 @@
 
         def on_timeout():
             sent = cancel()
-            done(Failed("no answer in time", sent))
+            done(Failed(f"no response within {self._timeout_s:g} s", sent))
 
         timer = self._loop.call_later(self._timeout_s, on_timeout)
         cancel = client.send(request, done)
@@ -246,9 +248,9 @@
             self._settings.requests_per_second * _BACKGROUND_RESERVE_SHARE if background else 0
         )
         if self._budget.available(now) < 1 + reserve:
-            return "this node's budget of requests to the platform is spent"
+            return "the node has used up its budget of requests to the platform"
         if not self._circuit.allows(now):
-            return "the platform does not answer and is left alone for a moment"
+            return "the circuit breaker is open: the platform did not answer earlier requests"
         self._budget.spend(1, now)
         return None
 
--- a/packages/node/src/camphorshelf_node/quarantine.py
+++ b/packages/node/src/camphorshelf_node/quarantine.py
@@ -1,4 +1,4 @@
-"""Spreads the news of requests that crash targets and refuses them before dispatch."""
+"""Refuses requests that crash targets, and shares the records of crashes with other nodes."""
 
 import time
 
@@ -6,8 +6,8 @@
 from camphorshelf_core.errors import Code, Refusal
 from camphorshelf_core.quarantine import Crashes, Quarantine, Standing, fingerprint
 
-# Carries, between nodes only, at which targets a request was blamed: the retry of a lookup
-# leaves within a millisecond, long before gossip has told its next target.
+# Names the targets that crashed while they ran the request; sent only between nodes. The retry of a
+# lookup is sent within a millisecond, long before gossip informs the next target's node.
 SUSPECT_HEADER = b"camphorshelf-suspect"
 _TOPIC = "quarantine"
 _CLEARED = "cleared"
@@ -16,7 +16,7 @@
 
 
 class QuarantineController:
-    """What this node knows of requests that crash targets, and tells others."""
+    """This node's records of requests that crash targets, and their exchange with other nodes."""
 
     def __init__(self, loop, settings, gossip, log):
         self._name = settings.name
@@ -28,14 +28,14 @@
 
     @property
     def state(self):
-        """The records, for the administration API and metrics."""
+        """The :class:`~camphorshelf_core.quarantine.Quarantine` with the records."""
         return self._state
 
     def filter(self, exchange, proceed):
         """Refuse a quarantined request before it is dispatched.
 
         :param exchange: the caller's exchange.
-        :param proceed: the next step.
+        :param proceed: the next filter of the chain.
         :return: None.
         """
         request = exchange.request
@@ -51,10 +51,10 @@
         proceed(exchange)
 
     def check_call(self, call):
-        """Tell what is held against a call that reached its target's node.
+        """Return the standing of a call that has arrived at its target's node.
 
         :param call: the :class:`~camphorshelf_core.messages.CallMessage`.
-        :return: the :class:`Standing` and the fingerprint (None when nothing is known).
+        :return: the :class:`Standing` and the fingerprint; the latter is None if no crash is known.
         """
         evidence = header(call.headers, SUSPECT_HEADER)
         if evidence is None and not len(self._state):
@@ -67,21 +67,21 @@
         return self._state.standing(name, now), name
 
     def refusal(self, name):
-        """Make the answer to a quarantined request.
+        """Create the refusal of a quarantined request.
 
-        :param name: its fingerprint.
+        :param name: the request's fingerprint.
         :return: the :class:`Refusal`.
         """
         remaining_s = self._state.seconds_left(name, time.time())
-        reason = f"each target that ran this request died (fingerprint {name})"
+        reason = f"targets crashed while they ran this request (fingerprint {name})"
         return Refusal(Code.QUARANTINED, reason, retry_after_ms=int(remaining_s * 1000) + 1)
 
     def record_blamed(self, exchange, target):
-        """Mark a caller's request that a target died under, for its retry.
+        """Record that a target crashed while it ran a caller's request, and mark it for its retry.
 
         :param exchange: the caller's exchange.
         :param target: the name of the target's node.
-        :return: True when the request is refused everywhere from now on.
+        :return: True if the request is quarantined now.
         """
         request = exchange.request
         name = fingerprint(exchange.service, request.method, request.path, request.body)
@@ -94,10 +94,10 @@
         return self._state.standing(name, now) is Standing.REFUSED
 
     def record_crash(self, calls):
-        """Take in that the target beside this node died.
+        """Record that the target on this host has crashed.
 
-        :param calls: the calls that it was working on.
-        :return: those that are blamed.
+        :param calls: the calls that the target was running.
+        :return: the calls that may have caused the crash.
         """
         names = {id(call): _call_fingerprint(call) for call in calls}
         now = time.time()
@@ -106,23 +106,23 @@
             crashes = self._state.evidence(name)[0][self._name]
             self._publish(f"{name}:{self._name}", now, tuple(crashes))
             standing = self._state.standing(name, now)
-            self._log.info(f"the target died under request {name}: {standing.name}")
+            self._log.info(f"the target crashed while it ran request {name}: {standing.name}")
         return [call for call in calls if names[id(call)] in blamed]
 
     def record_completed(self, name, started):
-        """Take in that a suspect ran to its answer.
+        """Record that a suspect request was answered without a crash.
 
-        :param name: its fingerprint.
-        :param started: when the run began, in wall-clock seconds.
+        :param name: the request's fingerprint.
+        :param started: when the run began, as Unix time in seconds.
         :return: None.
         """
         now = time.time()
         if self._state.record_completed(name, started, now):
             self._publish(f"{name}:{_CLEARED}", now, now)
-            self._log.info(f"request {name} ran to its answer and is cleared")
+            self._log.info(f"request {name} was answered without a crash and is cleared")
 
     def list_entries(self):
-        """List the requests that are refused or under suspicion.
+        """List the requests that are quarantined or suspected.
 
         :return: a list of documents with ``id``, ``service``, ``standing`` and ``seconds_left``.
         """
@@ -139,10 +139,10 @@
         ]
 
     def lift(self, name):
-        """Forgive a request everywhere, on an operator's word.
+        """Clear a request on all nodes, as an operator asked for.
 
-        :param name: its fingerprint.
-        :return: True when something was held against it.
+        :param name: the request's fingerprint.
+        :return: True if the request had been quarantined or suspected.
         """
         was_lifted = self._state.lift(name, time.time())
         if was_lifted:
@@ -168,7 +168,7 @@
                 crashes = Crashes(int(count), float(at))
                 self._state.merge_crashes(name, source, crashes, time.time())
         except (TypeError, ValueError):
-            self._log.info(f"news that is none, on quarantine: {key}")
+            self._log.info(f"invalid quarantine entry received: {key}")
 
 
 def _call_fingerprint(call):
--- a/packages/node/src/camphorshelf_node/roster.py
+++ b/packages/node/src/camphorshelf_node/roster.py
@@ -1,32 +1,32 @@
-"""The controller that knows which targets there are and where."""
+"""Indexes the members by the service of their target."""
 
 
 class Roster:
-    """Keeps the members in use by service."""
+    """The members in use that have a target, by service."""
 
     def __init__(self, gossip):
         self._services = {}
         gossip.on_member(self._on_member)
 
     def has_service(self, service):
-        """Tell whether any target serves a service.
+        """Return whether any target serves a service.
 
-        :param service: its name.
+        :param service: the service's name.
         :return: True or False.
         """
         return service in self._services
 
     def services(self):
-        """List the services that some target serves.
+        """List the services with at least one target.
 
-        :return: a list of names.
+        :return: a list of service names.
         """
         return list(self._services)
 
     def members(self, service):
         """List the members whose target serves a service.
 
-        :param service: its name.
+        :param service: the service's name.
         :return: a list of :class:`~camphorshelf_core.roster.Member`.
         """
         return list(self._services.get(service, {}).values())
--- a/packages/node/src/camphorshelf_node/rows.py
+++ b/packages/node/src/camphorshelf_node/rows.py
@@ -1,4 +1,4 @@
-"""Rows and conditional writes in the table service's published JSON form."""
+"""Encodes requests to the table service as JSON and decodes its responses."""
 
 import base64
 import json
@@ -16,9 +16,11 @@
 
 
 class Put(NamedTuple):
-    """A write of one row; ``expected`` is the version to replace, None when there must be none.
+    """A write of one row.
 
-    ``expires`` is when the table may drop the row, in seconds since 1970 by its own clock.
+    ``expected`` is the version to replace, or None if the row must not exist; it is ignored unless
+    ``conditional``. ``expires`` is the time from which the table may delete the row, as Unix time
+    in seconds by the table's clock.
     """
 
     partition: str
@@ -31,19 +33,19 @@
 
 
 def describe_key(partition, key):
-    """Describe a row's key.
+    """Encode a row's key.
 
-    :param partition: its partition.
-    :param key: its key in it.
+    :param partition: the row's partition.
+    :param key: the row's key in the partition.
     :return: the document.
     """
     return {"pk": {"S": partition}, "sk": {"S": key}}
 
 
 def describe_put(put):
-    """Describe a write.
+    """Encode a write.
 
-    :param put: a :class:`Put`.
+    :param put: the :class:`Put`.
     :return: the document.
     """
     item = describe_key(put.partition, put.key)
@@ -64,11 +66,11 @@
 
 
 def describe_delete(partition, key, data):
-    """Describe the deletion of a row that must still have the same bytes.
+    """Encode the deletion of a row that must still have the same bytes.
 
-    :param partition: its partition.
-    :param key: its key in it.
-    :param data: its bytes.
+    :param partition: the row's partition.
+    :param key: the row's key in the partition.
+    :param data: the bytes that the row must have.
     :return: the document.
     """
     return {
@@ -80,10 +82,10 @@
 
 
 def read_row(item):
-    """Read a row.
+    """Decode a row.
 
-    :param item: its document, or None.
-    :return: the :class:`Row`, or None.
+    :param item: the row's document, or None.
+    :return: the :class:`~camphorshelf_core.table.Row`, or None if there is no document.
     """
     if not item:
         return None
@@ -91,23 +93,24 @@
 
 
 def read_answer(result):
-    """Read the answer to a read.
+    """Decode the response to a read.
 
-    :param result: the response, or :class:`Failed`.
-    :return: ``Success`` of the document, or ``Failure`` of an :class:`Outage`.
+    :param result: the response, or the failure of the request.
+    :return: ``Success`` of the document, or ``Failure`` of a
+        :class:`~camphorshelf_core.table.ReadFailure`.
     """
     if isinstance(result, Failed):
         return Failure(ReadFailure(result.reason))
     if result.status != 200:
-        return Failure(ReadFailure(f"the table service answered {result.status}"))
+        return Failure(ReadFailure(f"the table service answered with status {result.status}"))
     return Success(json.loads(result.body))
 
 
 def read_query(result):
-    """Read the answer to a query.
+    """Decode the response to a query.
 
-    :param result: the response, or :class:`Failed`.
-    :return: a dict of key to bytes, or None when there was no answer.
+    :param result: the response, or the failure of the request.
+    :return: a dict of key to bytes, or None if the query failed.
     """
     answer = read_answer(result)
     if not isinstance(answer, Success):
@@ -117,11 +120,11 @@
 
 
 def read_write_results(result, count):
-    """Read how a write or a transaction of writes went.
+    """Decode the response to a write or to a transaction of writes.
 
-    :param result: the response, or :class:`Failed`.
-    :param count: how many rows it was to write.
-    :return: a list of :class:`Written`, one for each row.
+    :param result: the response, or the failure of the request.
+    :param count: the number of rows to write.
+    :return: a list of :class:`~camphorshelf_core.table.WriteResult`, one for each row.
     """
     if isinstance(result, Failed):
         return _same_for_all(
@@ -130,7 +133,7 @@
     if result.status == 200:
         return _same_for_all(WriteOutcome.APPLIED, count)
     if result.status >= 500:
-        # A service that fails inside says nothing of what it had done by then.
+        # After an internal error it is unknown whether the service has applied the write.
         return _same_for_all(WriteOutcome.UNKNOWN, count)
     document = json.loads(result.body or b"{}")
     error_type = document.get("__type", "")
--- a/packages/node/src/camphorshelf_node/sensing.py
+++ b/packages/node/src/camphorshelf_node/sensing.py
@@ -1,11 +1,11 @@
-"""The controller that probes the load of targets and answers peers' probes, by datagram."""
+"""Probes the load of targets and answers peers' probes, by datagram."""
 
 from camphorshelf_core.messages import ProbeAnswerMessage, ProbeMessage, encode
 from camphorshelf_core.sensing import DATAGRAM_OVERHEAD, PROBE_BYTES, ProbeScheduler
 
 
 class ProbeController:
-    """Moves probes through the node's datagram socket within the core package's budget."""
+    """Sends and answers probes on the gossip socket, within the budget of a probe scheduler."""
 
     def __init__(self, loop, settings, gossip, load_tracker, admission_controller, random):
         self._loop = loop
@@ -19,13 +19,13 @@
 
     @property
     def scheduler(self):
-        """The budget and its counts."""
+        """The :class:`~camphorshelf_core.sensing.ProbeScheduler`, with its counters."""
         return self._scheduler
 
     def probe_one(self, candidates):
-        """Probe one of a service's targets if one is worth it and the budget allows.
+        """Probe one of a service's targets, if the scheduler selects one.
 
-        :param candidates: the service's targets.
+        :param candidates: the targets, a list of :class:`~camphorshelf_core.routing.Candidate`.
         :return: None.
         """
         remote = [candidate for candidate in candidates if candidate.address != self._own_address]
@@ -46,6 +46,8 @@
 
     def _send(self, message, address):
         data = encode(message)
-        # The charge is a fixed amount per datagram, made before this; it has to cover it.
-        assert len(data) + DATAGRAM_OVERHEAD <= PROBE_BYTES, "a probe outgrew its charge"
+        # The budget was charged a fixed number of bytes per datagram before it was encoded.
+        assert (
+            len(data) + DATAGRAM_OVERHEAD <= PROBE_BYTES
+        ), f"a probe of {len(data)} bytes is larger than its budget"
         self._gossip.send(data, address)
--- a/packages/node/src/camphorshelf_node/serve.py
+++ b/packages/node/src/camphorshelf_node/serve.py
@@ -1,4 +1,4 @@
-"""Runs a node from a checked settings file, without what only the command line needs."""
+"""Runs a node from a valid settings file, without the modules of the command line."""
 
 import gc
 import sys
@@ -16,10 +16,10 @@
 
 
 def serve(path, log_level):
-    """Run a node until it is told to stop.
+    """Run a node until it is stopped by a signal.
 
-    :param path: path of the settings file.
-    :param log_level: the least level that is logged.
+    :param path: the path of the settings file.
+    :param log_level: the lowest level that is logged.
     :return: None.
     """
     settings = read_settings(path).unwrap()
@@ -32,9 +32,9 @@
 
 
 def _configure_gc():
-    # A full collection looks at all 50,000 objects that the libraries made at import, for some
-    # 30 ms, and stops every call meanwhile. They live as long as the process, so they are
-    # taken out of it; the rest is small, and collected less often.
+    # A full collection would examine the 50,000 objects that libraries create at import, and block
+    # all calls for about 30 ms. These objects live as long as the process, so they are excluded
+    # from collections; the others are few and are collected less often.
     gc.collect()
     gc.freeze()
     gc.set_threshold(_GENERATION_0_THRESHOLD, _GENERATION_1_THRESHOLD, _GENERATION_2_THRESHOLD)
--- a/packages/node/src/camphorshelf_node/tickets.py
+++ b/packages/node/src/camphorshelf_node/tickets.py
@@ -1,4 +1,8 @@
-"""The controllers of calls under tickets: at the target's node and at the entry node."""
+"""Calls with tickets: how the target's node runs them and how an entry node forwards them.
+
+A ticket is an idempotency key that a target's node issues (mints). Only that node runs the call
+that is sent with it, so it can do so at most once without the platform's table.
+"""
 
 import json
 from urllib.parse import parse_qs, urlsplit
@@ -26,7 +30,7 @@
 
 
 class TicketRunner:
-    """Mints tickets for the target beside this node and runs each of them once."""
+    """Mints tickets for the target on this host, and runs the call of each ticket at most once."""
 
     def __init__(self, loop, at_most_once, admission_controller, store):
         self._loop = loop
@@ -36,10 +40,10 @@
         self._waiting = {}
 
     def answer_tickets_request(self, message, reply):
-        """Mint tickets for an entry node.
+        """Answer an entry node that requests tickets.
 
-        :param message: its :class:`MintMessage`.
-        :param reply: takes the :class:`MintedMessage`.
+        :param message: the :class:`TicketsRequestMessage`.
+        :param reply: called with the :class:`TicketsMessage`.
         :return: None.
         """
         reply(self.mint(message))
@@ -47,12 +51,16 @@
     def mint(self, message):
         """Mint tickets.
 
-        :param message: the :class:`MintMessage`.
-        :return: the :class:`MintedMessage`.
+        :param message: the :class:`TicketsRequestMessage`.
+        :return: the :class:`TicketsMessage`, with the tickets or a refusal.
         """
         target = self._admission_controller.target
         if target is None or target.service != message.service:
-            return _mint_refusal(Refusal(Code.NO_TARGET, "no such target beside this node"))
+            return _mint_refusal(
+                Refusal(
+                    Code.NO_TARGET, f"the node's host has no target of service {message.service}"
+                )
+            )
         tickets = []
         for _ in range(min(message.count, _MAX_TICKETS_PER_REQUEST)):
             minted = self._store.mint(message.service, self._loop.now())
@@ -62,10 +70,12 @@
         return TicketsMessage(0, tuple(tickets), None) if tickets else _mint_refusal(minted)
 
     def run(self, call, on_done):
-        """Run a call; one under a ticket only when it has not run.
+        """Run a call; with a ticket only if the ticket's call has not run yet.
+
+        A repeated call gets the stored result, or waits for the result of the running one.
 
-        :param call: a :class:`CallMessage`.
-        :param on_done: takes the response or refusal, and the load report.
+        :param call: the :class:`CallMessage`.
+        :param on_done: called with the response or refusal, and the load report.
         :return: a function that cancels the call.
         """
         key = None if is_idempotent(call.method) else header(call.headers, KEY_HEADER)
@@ -100,20 +110,21 @@
 
         def stop_waiting():
             _remove_callback(waiting, on_done)
-            # Once it has started, its answer is worth keeping for a resend. Before that, and
-            # with nobody waiting, it is void and the ticket good for another try.
+            # The result of a call that has started is stored for repeated requests. A call that
+            # has not started and that nobody waits for is cancelled; its ticket can be used again.
             is_current = self._waiting.get(ticket) is waiting
             if is_current and not waiting and not self._at_most_once.has_started(call):
                 cancel()
                 finish(
-                    Refusal(Code.CANCELLED, "nobody waits for it"), self._admission_controller.load
+                    Refusal(Code.CANCELLED, "nobody waits for the call any more"),
+                    self._admission_controller.load,
                 )
 
         return stop_waiting
 
 
 class TicketForwarder:
-    """Passes calls under tickets to the one node that may run them, and asks for new tickets."""
+    """Forwards calls with tickets to the node that minted them, and requests new tickets."""
 
     def __init__(self, loop, settings, dispatcher, roster, replica, runner, random):
         self._loop = loop
@@ -125,10 +136,10 @@
         self._random = random
 
     def filter(self, exchange, proceed):
-        """Take calls for or under tickets out of the chain.
+        """Handle requests for tickets and calls with tickets; pass all others to the next filter.
 
         :param exchange: the caller's exchange.
-        :param proceed: the next step of the chain.
+        :param proceed: the next filter of the chain.
         :return: None.
         """
         request = exchange.request
@@ -149,11 +160,13 @@
     def _request_tickets(self, exchange):
         request = exchange.request
         if request.method != "POST":
-            exchange.refuse(Refusal(Code.BAD_REQUEST, "tickets are taken with POST"))
+            exchange.refuse(
+                Refusal(Code.BAD_REQUEST, f"tickets are requested with POST, not {request.method}")
+            )
             return
         members = self._roster.members(exchange.service)
         if not members:
-            reason = "no target of the service takes work"
+            reason = f"service {exchange.service} has no target"
             exchange.refuse(Refusal(Code.NO_TARGET, reason, retry_after_ms=_RETRY_AFTER_MS))
             return
         member = self._random.choice(members)
@@ -176,7 +189,7 @@
 
     def _send_tickets(self, exchange, answer):
         if not isinstance(answer, TicketsMessage):
-            reason = "the target's node did not answer"
+            reason = "the target's node did not answer the request for tickets"
             exchange.refuse(Refusal(Code.PEER_LOST, reason, retry_after_ms=_RETRY_AFTER_MS))
             return
         refusal = unpack_result(None, answer.refusal)
@@ -217,7 +230,7 @@
 
 
 class _TicketCall:
-    """One call under a ticket on its way to its node."""
+    """A call with a ticket that is forwarded to the ticket's node."""
 
     def __init__(self, loop, exchange):
         self._loop = loop
@@ -238,8 +251,8 @@
         if isinstance(result, Response):
             exchange.answer(result)
             return
-        # Only the node that minted the ticket may say that it did not run. That this node
-        # could not reach it tells nothing of an earlier send through another one.
+        # Only the node that minted the ticket can tell that the call has not run. If this node
+        # can't reach it, the call may have run after an earlier request through another node.
         exchange.is_keyed = result.code is Code.PEER_LOST
         if result.code is Code.PEER_LOST:
             result = _node_gone_refusal(is_final=False)
@@ -247,7 +260,7 @@
 
     def _on_deadline(self):
         self._give_up()
-        reason = "the deadline passed before the answer came"
+        reason = "the deadline passed before the call was answered"
         self._exchange.refuse(Refusal(Code.DEADLINE_EXCEEDED, reason, Ran.OUTCOME_UNKNOWN))
 
     def _give_up(self):
@@ -274,7 +287,7 @@
 
 
 def _node_gone_refusal(is_final):
-    reason = "the node that minted the ticket is gone or cannot be reached; no other runs it"
+    reason = "the node that minted the ticket has ended or cannot be reached; no other may run it"
     retry_after_ms = None if is_final else _RETRY_AFTER_MS
     return Refusal(Code.TICKET_NODE_GONE, reason, Ran.OUTCOME_UNKNOWN, retry_after_ms)
 
@@ -302,4 +315,4 @@
 
 
 def _do_nothing():
-    """Stands for the cancellation of a call that never began."""
+    """Cancel nothing; used for calls that are not running."""
