--- a/packages/node/src/camphorshelf_node/node.py
+++ b/packages/node/src/camphorshelf_node/node.py
@@ -251,7 +251,7 @@
         return self.entry_counts.get(name, 0)
 
     @property
-    def gatekeeper(self):
+    def admission_controller(self):
         """The :class:`AdmissionController` of the target on this host."""
         return self._admission_controller
 
@@ -314,7 +314,7 @@
         add_gauge = self._metrics.add_gauge
         for name, description in _ENTRY_COUNT_DESCRIPTIONS.items():
             add_gauge(f"entry.{name}", description, partial(self._entry_count, name))
-        gatekeeper = self._admission_controller
+        admission_controller = self._admission_controller
         local_version = self._configuration.local_version
         add_gauge("config.version", "The configuration in force.", lambda: local_version.version)
         add_gauge(
@@ -338,9 +338,17 @@
             "roster.isolated", "1 while cut off from most.", lambda: int(membership.is_isolated)
         )
         add_gauge("roster.superseded", "1 once replaced.", lambda: int(membership.superseded))
-        add_gauge("target.in_flight", "Calls at the target.", lambda: gatekeeper.load.in_flight)
-        add_gauge("target.queued", "Calls that wait for a slot.", lambda: gatekeeper.load.queued)
-        add_gauge("target.slots", "Calls the target takes at once.", lambda: gatekeeper.load.slots)
+        add_gauge(
+            "target.in_flight", "Calls at the target.", lambda: admission_controller.load.in_flight
+        )
+        add_gauge(
+            "target.queued", "Calls that wait for a slot.", lambda: admission_controller.load.queued
+        )
+        add_gauge(
+            "target.slots",
+            "Calls the target takes at once.",
+            lambda: admission_controller.load.slots,
+        )
         claims, invariants = self._claims, self._invariants
         add_gauge("claims.open", "Calls under keys under way.", lambda: claims.tracker.open_claims)
         add_gauge(
