--- a/packages/relay/src/camphorshelf_relay/admissioncontroller.py
+++ b/packages/relay/src/camphorshelf_relay/admissioncontroller.py
@@ -28,6 +28,7 @@
         self.counts = {}
         self._dispatch_timer = None
         self._shutdown_at = None
+        # Called with the seconds that each answered request waited and ran.
         self.on_response = lambda waited_s, ran_s: None
 
     def submit(self, message, reply):
@@ -73,14 +74,14 @@
         self._shutdown_at = moment
 
     def schedule_dispatch(self):
-        """Set a timer for the next queued request that only the limit of a cold target delays.
+        """Set a timer for the next queued request that waits only for a cold target's rate limit.
 
         :return: None.
         """
-        wait = self.admission.next_dispatch_s(self._loop.now())
-        if wait is None or self._dispatch_timer is not None:
+        wait_s = self.admission.next_dispatch_s(self._loop.now())
+        if wait_s is None or self._dispatch_timer is not None:
             return
-        self._dispatch_timer = self._loop.call_later(wait, self._on_dispatch_timer)
+        self._dispatch_timer = self._loop.call_later(wait_s, self._on_dispatch_timer)
 
     def _on_dispatch_timer(self):
         self._dispatch_timer = None
--- a/packages/relay/src/camphorshelf_relay/announcer.py
+++ b/packages/relay/src/camphorshelf_relay/announcer.py
@@ -3,7 +3,7 @@
 When half of a large fleet restarts at once, or the store fails for all nodes, sending each change
 from every host to every other would cost a number of datagrams that grows with the square of the
 fleet. Here an announcement goes to the hosts of this failure domain and to two hosts of each other
-domain, which forward it in theirs, and announcements of the same moment share a datagram.
+domain, which forward it in theirs. Announcements within a short time are sent in one datagram.
 """
 
 import secrets
@@ -27,7 +27,7 @@
     should_push_load,
 )
 
-# Changes within this time of each other are sent as one.
+# Changes within this time of each other are sent together.
 _MIN_SEND_INTERVAL_SECONDS = 0.025
 # Limits on the statuses that one node pushes in its own failure domain and in all others.
 _SAME_DOMAIN_STATUSES_PER_SECOND = 300
@@ -35,9 +35,9 @@
 # A status is repeated after this share of the push interval, so that a late timer does not make the
 # host look silent.
 _REPEAT_SHARE = 0.9
-# How often a pushed status has its full form, for hosts that have missed an earlier full one.
+# How often a status is pushed in its full form, for hosts that have missed an earlier full one.
 _FULL_STATUS_INTERVAL_SECONDS = 3.0
-# How often a host that was never heard or has fallen silent is greeted: a partition may heal.
+# How often hosts are greeted that were never heard from or fell silent: a partition may heal.
 _GREETING_INTERVAL_SECONDS = 0.5
 # Greetings are sent in batches, so that the start of a node in a large fleet causes no burst.
 _GREETINGS_PER_BATCH = 20
@@ -119,14 +119,16 @@
         return self._incarnation
 
     def next_status(self):
-        """Describe this host under the next sequence number.
+        """Create this host's status, with the next sequence number.
 
         :return: the :class:`~camphorshelf_core.hosts.HostStatus`.
         """
         self._sequence += 1
-        repeat_s = push_interval_seconds(self._directory.size) if self._is_pushing else 0.0
+        push_interval_s = push_interval_seconds(self._directory.size) if self._is_pushing else 0.0
         status = self._describe()._replace(
-            incarnation=self._incarnation, sequence=self._sequence, push_interval_s=repeat_s
+            incarnation=self._incarnation,
+            sequence=self._sequence,
+            push_interval_s=push_interval_s,
         )
         if self._last_status is None or not is_short_form_sufficient(status, self._last_status):
             self._revision += 1
@@ -248,7 +250,7 @@
         if is_pushing:
             self._push(is_forced=True)
         elif self._last_status is not None:
-            # Hosts that expect repeated statuses would take this one for silent.
+            # Otherwise hosts that still expect repeated statuses would take this one for silent.
             self._announce_own(AnnouncementScope.ALL)
 
     def _list_unheard(self, now):
--- a/packages/relay/src/camphorshelf_relay/configsync.py
+++ b/packages/relay/src/camphorshelf_relay/configsync.py
@@ -31,11 +31,11 @@
 # does not read the store. Only the default pollers read at once, in case all nodes have started
 # together.
 _START_DELAY_SECONDS = 0.3
-# A version announced in another failure domain is fetched from there by the nodes that forward the
-# announcement in this domain. The others wait for one of those to have it, and fetch it from the
-# other domain when none has it after this delay.
+# A version that a host of another failure domain has announced is fetched from that host by the
+# nodes that forward its announcement in this domain. The other nodes here get it from one of those,
+# and fetch it across domains only if they still lack it after this delay.
 _CROSS_DOMAIN_FETCH_DELAY_SECONDS = 0.3
-# A peer is asked again for a version that it has announced when it has not answered in this time.
+# A peer that has announced a version is asked for it again if it has not answered in this time.
 _FETCH_RETRY_SECONDS = 0.25
 
 _MAX_DOCUMENT_BYTES = 32 * 1024 * 1024
@@ -110,9 +110,8 @@
     def lacks_store_access(self):
         """Whether this node's last poll failed or its pending poll is overdue.
 
-        The store may fail for the pollers only. If their access counted as lost only once the age
-        of their last answer has grown, other nodes would take over seconds later, and a change
-        would be delayed as long.
+        The store may fail for the pollers only. If others took over from them only when their last
+        answer is old, changes of the configuration would be delayed by seconds.
         """
         sent_at = self._poll_sent_at
         is_overdue = sent_at is not None and self._loop.now() - sent_at >= _POLL_OVERDUE_SECONDS
@@ -178,8 +177,8 @@
             self._fetch(view.status)
 
     def _is_newer(self, status):
-        has_evacuation = self.evacuations.current.misses_change(status.evacuation_version)
-        return has_evacuation or status.config_version > self.version
+        has_newer_evacuations = self.evacuations.current.misses_change(status.evacuation_version)
+        return has_newer_evacuations or status.config_version > self.version
 
     def _fetch(self, status):
         now = self._loop.now()
@@ -189,7 +188,7 @@
             return
         recent = [at for versions, at in self._fetches.values() if _covers(versions, wanted)]
         if recent and now - max(recent) < _FETCH_RETRY_SECONDS / 4:
-            # All peers announce a change within a moment; one of them is asked at a time.
+            # All peers announce a change at nearly the same time; one of them is asked at a time.
             return
         self._fetches[status.address] = wanted, now
         is_same_domain = status.domain == self._settings.domain
@@ -255,8 +254,8 @@
         )
 
     def _poll_if_due(self):
-        # Also without a configuration: when all nodes start together, only the pollers read it and
-        # the others get it from them.
+        # A node without a configuration doesn't poll either unless it is a poller: when all nodes
+        # start together, the others get the configuration from the pollers.
         if is_poller(self._settings.name, self._live_peers()) and self._is_poll_due():
             self._poll()
         else:
--- a/packages/relay/src/camphorshelf_relay/crashes.py
+++ b/packages/relay/src/camphorshelf_relay/crashes.py
@@ -1,4 +1,4 @@
-"""Tracks requests under which targets crash, and shares them with other nodes.
+"""Tracks requests that crash targets, and shares their crash counts with other nodes.
 
 Failure pattern: a request crashes each target that starts to run it, and its caller sends it again
 and again. Without quarantine, three attempts take down all targets of a service that has three.
@@ -8,10 +8,11 @@
 
 from camphorshelf_core.quarantine import Crashes, Quarantine, Standing, fingerprint
 
-# A crash shows first as broken connections and, a moment later, as a refused connection or another
-# process at the address. Requests whose connections broke longer ago are unrelated to it.
+# The connections of a crashed target break first. The crash is detected a moment later, when a
+# connection is refused or another process answers at the address. Requests whose connections broke
+# longer before that are unrelated to the crash.
 _DETECTION_SECONDS = 1.5
-# Bounds of what is sent to other nodes.
+# Limits on the crash counts sent to other nodes: how many, and for how long after a crash.
 _MAX_SENT_FINGERPRINTS = 4
 _SENT_SECONDS = 60.0
 
@@ -19,9 +20,9 @@
 class QuarantineLimits(NamedTuple):
     """When a request is quarantined because of crashes.
 
-    Two crashes under the same request are no coincidence: a target crashes a few times per day and
-    runs about seven of thousands of requests at a time. A quarantine ends after a while because the
-    target may have been fixed.
+    Two crashes while the same request runs are no coincidence: a target crashes only a few times
+    per day, and of thousands of requests it runs about seven at a time. A quarantine ends after a
+    while because the target may have been fixed.
 
     :param crashes: the number of crashes after which the request is quarantined.
     :param suspicion_ms: for how long the request stays a suspect after a crash, in milliseconds.
@@ -48,12 +49,13 @@
         self._name = name
         self._log = log
         self._quarantine = Quarantine(QuarantineLimits(), name)
-        self._lost = []
+        # Pairs of fingerprint and time, for requests whose connection broke recently.
+        self._lost_requests = []
         self._blamed_at = {}
 
     @property
     def recent_crashes(self):
-        """Pairs of fingerprint and crash count, for requests recently blamed by this node."""
+        """Pairs of fingerprint and crash count, for requests that this node recently blamed."""
         now = self._loop.now()
         recent = [
             fingerprint for fingerprint, at in self._blamed_at.items() if now - at < _SENT_SECONDS
@@ -87,8 +89,10 @@
         :return: None.
         """
         now = self._loop.now()
-        self._lost = [pair for pair in self._lost if now - pair[1] < _DETECTION_SECONDS]
-        self._lost.append((fingerprint, now))
+        self._lost_requests = [
+            pair for pair in self._lost_requests if now - pair[1] < _DETECTION_SECONDS
+        ]
+        self._lost_requests.append((fingerprint, now))
 
     def record_completed(self, fingerprint, started):
         """Record that the target answered a request, which clears it of suspicion.
@@ -105,7 +109,7 @@
         :return: None.
         """
         now = self._loop.now()
-        lost, self._lost = self._lost, []
+        lost, self._lost_requests = self._lost_requests, []
         suspects = [fingerprint for fingerprint, at in lost if now - at < _DETECTION_SECONDS]
         for blamed in self._quarantine.record_crash(suspects, now):
             self._blamed_at.pop(blamed, None)
--- a/packages/relay/src/camphorshelf_relay/datagrams.py
+++ b/packages/relay/src/camphorshelf_relay/datagrams.py
@@ -44,8 +44,8 @@
             self._socket.sendto(data, (ip, self._address[1]))
             self.counts["sent"] += 1
         except OSError:
-            # A full send buffer and an unreachable host are not told apart. Nothing is resent: the
-            # next status replaces the lost one.
+            # Either the send buffer is full or the host is unreachable. Nothing is resent, because
+            # the next status replaces the lost one.
             self.counts["failed"] += 1
 
     def _on_readable(self, _mask):
--- a/packages/relay/src/camphorshelf_relay/discovery.py
+++ b/packages/relay/src/camphorshelf_relay/discovery.py
@@ -13,9 +13,11 @@
 
 TABLE = "hosts"
 # At the first start of a whole system each node reads the rows after a random delay of up to this
-# long. Most nodes are greeted before that by a node that has read, and get all addresses from it.
+# long. Before that, most nodes are greeted by a node that has read the rows, and get all addresses
+# from it.
 _FIRST_READ_SPREAD_SECONDS = 0.8
-# Longest retry delay while other hosts are heard: they know this host, so its row is not urgent.
+# Longest retry delay while other hosts are heard from. They know this host, so its row is not
+# urgent.
 _HEARD_RETRY_SECONDS = 5.0
 # Longest retry delay once another host has sent all addresses: the row then matters only to hosts
 # that start later.
@@ -23,7 +25,7 @@
 
 
 class Discovery:
-    """Reads the rows of all hosts, and writes this host's row where it is missing or outdated."""
+    """Reads the rows of all hosts, and writes this host's row if it is missing or outdated."""
 
     def __init__(self, loop, settings, store, peers, random, log):
         self._loop = loop
--- a/packages/relay/src/camphorshelf_relay/evacuations.py
+++ b/packages/relay/src/camphorshelf_relay/evacuations.py
@@ -40,9 +40,9 @@
         self.apply(self._current.with_updates(domains, version), AnnouncementScope.ALL)
 
     def apply(self, evacuations, scope):
-        """Replace the evacuations in force by another node's if those are newer.
+        """Replace the evacuations in force if the given ones are newer.
 
-        :param evacuations: the other node's :class:`~camphorshelf_core.evacuation.Evacuations`.
+        :param evacuations: the :class:`~camphorshelf_core.evacuation.Evacuations` to apply.
         :param scope: the :class:`~camphorshelf_relay.announcer.AnnouncementScope` in which a change
             has to be announced.
         :return: None.
--- a/packages/relay/src/camphorshelf_relay/events.py
+++ b/packages/relay/src/camphorshelf_relay/events.py
@@ -115,7 +115,11 @@
     ),
     Event("store_lost", "The store is unreachable or fails.", "trouble reason"),
     Event("store_regained", "The store answers again.", "failures"),
-    Event("host_found", "A host was found in the store's rows.", "address"),
+    Event(
+        "host_found",
+        "A host was found in the store's rows or in the addresses that another host sent.",
+        "address",
+    ),
     Event("host_heard", "A host sent its status for the first time or again.", "name address"),
     Event(
         "host_silent",
--- a/packages/relay/src/camphorshelf_relay/healthprobe.py
+++ b/packages/relay/src/camphorshelf_relay/healthprobe.py
@@ -6,8 +6,8 @@
 
 from .targetconnection import TargetResponse
 
-# Default interval between probes, short compared with how long a host's speed stays the same.
-# Responses to requests carry the same load report, so a busy target is probed less often.
+# Default interval between probes. A host's speed changes far more slowly than this. Responses to
+# requests carry the same load report as those to probes, so a busy target is probed less often.
 _PROBE_INTERVAL_SECONDS = 0.05
 _TIMEOUT_SECONDS = 0.25
 _MIN_TIMER_SECONDS = 0.005
--- a/packages/relay/src/camphorshelf_relay/linkpool.py
+++ b/packages/relay/src/camphorshelf_relay/linkpool.py
@@ -2,12 +2,18 @@
 
 from camphorshelf_node.links import PeerLink
 
-# A link on which nothing arrives for this long while an answer is due accepts no new requests.
+# A link accepts no new requests if nothing has arrived on it for this long while a reply is due.
 LINK_SILENCE_SECONDS = 0.6
 
 
 class LinkPool:
-    """Opens a link to a host on first use and reuses it afterwards."""
+    """Opens a link to a host on first use and reuses it afterwards.
+
+    :param loop: the node's loop.
+    :param is_alive: takes a host's link address, and returns whether datagrams of the host still
+        arrive.
+    :param probe: takes a host's link address and sends the host a probe.
+    """
 
     def __init__(self, loop, is_alive, probe):
         self._loop = loop
--- a/packages/relay/src/camphorshelf_relay/listeners.py
+++ b/packages/relay/src/camphorshelf_relay/listeners.py
@@ -19,15 +19,15 @@
 
     Fixed defaults apply until there is a configuration.
 
-    :param config: the :class:`~camphorshelf_relay.configsync.ConfigSynchronizer`.
+    :param config_sync: the :class:`~camphorshelf_relay.configsync.ConfigSynchronizer`.
     """
 
     # A body may arrive as slowly as its request's deadline allows. This timeout only closes
     # connections of callers that have given up.
     body_timeout_ms = 30_000
 
-    def __init__(self, config):
-        self._config = config
+    def __init__(self, config_sync):
+        self._config_sync = config_sync
 
     @property
     def head_bytes(self):
@@ -51,7 +51,7 @@
 
     @property
     def _limits(self):
-        return self._config.config and self._config.config.limits
+        return self._config_sync.config and self._config_sync.config.limits
 
 
 class CallerListener:
@@ -61,7 +61,7 @@
     :param address: the :class:`~camphorshelf_relay.settings.Endpoint` to listen on.
     :param limits: the :class:`CurrentLimits`.
     :param handle: called with the :class:`~camphorshelf_node.exchange.Exchange` of each request.
-    :param on_fault: called with the exception when a request ends in one.
+    :param on_fault: called with each unhandled exception of a request's handler.
     :param may_overlap: called with a :class:`~camphorshelf_core.calls.Request`; returns whether it
         may run concurrently with others of its connection. None if none may.
     """
@@ -164,7 +164,7 @@
     :param loop: the node's loop.
     :param admission_controller: the
         :class:`~camphorshelf_relay.admissioncontroller.AdmissionController`.
-    :param on_fault: called with the exception when a request ends in one.
+    :param on_fault: called with each unhandled exception of a request's handler.
     :return: the handler of :class:`~camphorshelf_core.messages.RelayMessage`.
     """
     min_offset = None
@@ -174,10 +174,10 @@
         offset = loop.now() - message.sent_at
         if min_offset is None or offset < min_offset:
             min_offset = offset
-        # Messages delayed by a network partition or a suspended host can arrive seconds late with
-        # the remaining time of when they were sent. Without this correction the target would work
-        # for callers that have given up. The smallest offset seen on the link stands for no delay,
-        # because the two hosts' clocks differ.
+        # Messages delayed by a network partition or a suspended host can arrive seconds late, and
+        # their remaining time is that at the time of sending. Without this correction the target
+        # would work for callers that have given up. The two hosts' clocks differ, so the smallest
+        # offset seen on the link is taken as that of a message without delay.
         delay_s = offset - min_offset
         message = message._replace(
             remaining_s=message.remaining_s - delay_s, objective_s=message.objective_s - delay_s
@@ -209,7 +209,7 @@
     :param loop: the node's loop.
     :param admission_controller: the
         :class:`~camphorshelf_relay.admissioncontroller.AdmissionController`.
-    :param on_fault: called with the exception when a request ends in one.
+    :param on_fault: called with each unhandled exception of a request's handler.
     :param others: a dict from message type to handler, for handlers without state per link.
     :return: a function without arguments that returns a dict of handlers.
     """
@@ -227,7 +227,7 @@
     :param limits: the limits of a connection, as for callers.
     :param respond: called with a :class:`~camphorshelf_core.calls.Request`; returns the status and
         the body of the response.
-    :param on_fault: called with the exception when a request ends in one.
+    :param on_fault: called with each unhandled exception of a request's handler.
     :param headers: the headers of each response.
     :return: None.
     """
--- a/packages/relay/src/camphorshelf_relay/node.py
+++ b/packages/relay/src/camphorshelf_relay/node.py
@@ -42,9 +42,11 @@
 # The node exits this long before it would be killed, so that the last responses are sent.
 _EXIT_MARGIN_SECONDS = 0.4
 _STOP_POLL_SECONDS = 0.05
-# Time reserved for callers' requests in progress when requests at the target do not end.
-_LAST_CALLERS_SECONDS = 1.0
-# Short compared with the time windows of the limits in the settings.
+# If requests at the target do not end, callers' connections are closed this long before the exit.
+# That leaves time for responses in progress.
+_CALLER_CLOSE_MARGIN_SECONDS = 1.0
+# How often the settings file is read again; short compared with the time windows of the limits in
+# it.
 _RELOAD_SECONDS = 3.0
 # A node without any reachable peer reports that it is ready after this time, because one node is
 # better than none.
@@ -118,23 +120,23 @@
             log,
         )
         store = platform.store(loop, settings.addresses.store)
-        self._config = ConfigSynchronizer(
+        self._config_sync = ConfigSynchronizer(
             loop, settings, store, self._peers, platform.readers, self._random, log
         )
         self._discovery = Discovery(loop, settings, store, self._peers, self._random, log)
-        self._discovery.on_done = self._config.start_if_default_poller
+        self._discovery.on_done = self._config_sync.start_if_default_poller
         self._router = Router(
             loop,
             settings,
             platform.header_codec,
-            self._config,
+            self._config_sync,
             self._peers,
             self._admission_controller,
             self._own_view,
             self._random,
             log,
         )
-        limits = CurrentLimits(self._config)
+        limits = CurrentLimits(self._config_sync)
         addresses = settings.addresses
         self._callers = CallerListener(
             loop,
@@ -148,7 +150,7 @@
             loop,
             self._admission_controller,
             log.fault,
-            {ConfigRequestMessage: self._config.answer_peer},
+            {ConfigRequestMessage: self._config_sync.answer_peer},
         )
         self._links = LinkListener(loop, addresses.links, handlers)
         self._http_endpoints = (
@@ -164,7 +166,7 @@
             self._admission_controller,
             self._router,
             self._peers,
-            self._config,
+            self._config_sync,
             self._callers,
             store,
             log,
@@ -172,17 +174,17 @@
         )
         register_node_metrics(self._metrics, sources)
         self._peers.on_status = self._on_peer_status
-        self._config.evacuations.on_change(self._on_evacuation)
-        self._config.on_change(self._on_config)
+        self._config_sync.evacuations.on_change(self._on_evacuation)
+        self._config_sync.on_change(self._on_config)
 
     @property
     def ready(self):
         """Whether callers should send requests to this node."""
-        if self._stopping or self._config.config is None:
+        if self._stopping or self._config_sync.config is None:
             return False
         has_peers = bool(self._peers.directory.live(self._loop.now()))
-        is_alone = self._loop.now() - self._started_at > _ALONE_SECONDS
-        return self._discovery.done or has_peers or is_alone
+        has_waited = self._loop.now() - self._started_at > _ALONE_SECONDS
+        return self._discovery.done or has_peers or has_waited
 
     @handler("started", channel="*")
     def _on_started(self, _manager):
@@ -196,7 +198,7 @@
         if self._settings.addresses.metrics is not None:
             self._serve_metrics()
         self._peers.start()
-        self._config.start(self._platform.document_table, self._platform.document_key)
+        self._config_sync.start(self._platform.document_table, self._platform.document_key)
         self._discovery.start()
         # The settings file may be changed without a SIGHUP.
         self._loop.call_every(_RELOAD_SECONDS, lambda: self._reload(is_requested=False))
@@ -230,17 +232,17 @@
             slowness=target.slowness,
             work_s=round(admission.work_s, 4),
             failure_ratio=round(target.failing, 3),
-            config_version=self._config.version,
-            lacks_store_access=self._config.lacks_store_access,
+            config_version=self._config_sync.version,
+            lacks_store_access=self._config_sync.lacks_store_access,
             revision=0,
             push_interval_s=0.0,
             crashes=self._crashes.recent_crashes,
             start_wait_s=round(admission.warm_up.wait_s(self._loop.now()), 3),
-            evacuation_version=self._config.evacuations.current.changed_at,
+            evacuation_version=self._config_sync.evacuations.current.changed_at,
         )
 
     def _on_peer_status(self, view, is_forwarded):
-        self._config.on_peer_status(view, is_forwarded)
+        self._config_sync.on_peer_status(view, is_forwarded)
         self._crashes.merge_remote(view.status.host, view.status.crashes)
 
     def _own_view(self):
@@ -251,11 +253,11 @@
 
     def _on_config(self, config):
         self._target.configure(config.services.get(self._settings.service))
-        self._peers.announce_version(self._config.announcement_scope)
+        self._peers.announce_version(self._config_sync.announcement_scope)
 
     def _on_evacuation(self, announcement_scope):
         self._target.set_evacuated(
-            self._settings.domain in self._config.evacuations.current.domains
+            self._settings.domain in self._config_sync.evacuations.current.domains
         )
         self._peers.announce_version(announcement_scope)
 
@@ -308,7 +310,7 @@
 
     def _finish_callers(self, exit_at):
         # Requests that run at the target may send requests of their own through this node.
-        if self._admission.running and self._loop.now() < exit_at - _LAST_CALLERS_SECONDS:
+        if self._admission.running and self._loop.now() < exit_at - _CALLER_CLOSE_MARGIN_SECONDS:
             self._loop.call_later(_STOP_POLL_SECONDS, lambda: self._finish_callers(exit_at))
             return
         self._callers.finish()
--- a/packages/relay/src/camphorshelf_relay/nodemetrics.py
+++ b/packages/relay/src/camphorshelf_relay/nodemetrics.py
@@ -13,7 +13,7 @@
         :class:`~camphorshelf_relay.admissioncontroller.AdmissionController`.
     :param router: the :class:`~camphorshelf_relay.router.Router`.
     :param peers: the :class:`~camphorshelf_relay.peers.Peers`.
-    :param config: the :class:`~camphorshelf_relay.configsync.ConfigSynchronizer`.
+    :param config_sync: the :class:`~camphorshelf_relay.configsync.ConfigSynchronizer`.
     :param callers: the :class:`~camphorshelf_relay.listeners.CallerListener`.
     :param store: the store's client.
     :param log: the :class:`~camphorshelf_relay.eventlog.EventLog`.
@@ -26,7 +26,7 @@
     admission_controller: object
     router: object
     peers: object
-    config: object
+    config_sync: object
     callers: object
     store: object
     log: object
@@ -88,18 +88,18 @@
         "1 while the start of requests is limited.",
         lambda: int(target.is_limited),
     )
-    evacuations = sources.config.evacuations
+    evacuations = sources.config_sync.evacuations
     add_gauge("evacuated", "Evacuated failure domains.", lambda: len(evacuations.current.domains))
     add_gauge("ready", "1 while the node is ready for callers.", lambda: int(sources.is_ready()))
     add_gauge(
         "config.version",
         "Version of the configuration in force.",
-        lambda: sources.config.version,
+        lambda: sources.config_sync.version,
     )
     add_gauge(
         "store.age",
         "Seconds since the last response of the store.",
-        lambda: sources.config.store_age_s,
+        lambda: sources.config_sync.store_age_s,
     )
     add_gauge("callers", "Connections of callers.", lambda: sources.callers.connections)
     live = sources.peers.directory.live
--- a/packages/relay/src/camphorshelf_relay/peers.py
+++ b/packages/relay/src/camphorshelf_relay/peers.py
@@ -30,11 +30,13 @@
 from .linkpool import LINK_SILENCE_SECONDS, LinkPool
 from .prober import Prober
 
+# The shortest time between two ticks.
 _STEP_SECONDS = 0.1
-# The announcer's interval and the longest time between two ticks, in steps. Ticks are kept few
+# The longest time between two ticks, in steps; also the announcer's interval. Ticks are kept few
 # because each one wakes the process.
 _STEPS_PER_TICK = 2
-# A silent link is kept while its host, which has just been probed, was heard within this time.
+# When a link falls silent, its host is probed. The link is kept if the host was heard from within
+# this time.
 _LINK_ALIVE_SECONDS = LINK_SILENCE_SECONDS * 1.5
 # A node greets all other hosts within this time of its start.
 _STARTUP_SECONDS = 1.0
@@ -75,6 +77,7 @@
         # status, by the address of the probed host.
         self._indirect_probes = {}
         self._has_all_addresses = False
+        # Steps since the announcer's last tick.
         self._steps = 0
         self._addresses_requested_at = 0.0
         self._own_address = settings.addresses.links.text
@@ -136,7 +139,8 @@
 
         :return: None.
         """
-        # One step short of a full tick, so that the detector and the announcer share their ticks.
+        # The first tick, after one step, also runs the announcer's tick. The detector and the
+        # announcer then share their ticks.
         self._steps = _STEPS_PER_TICK - 1
         self._schedule_tick(1)
         self._loop.call_every(_FORGET_INTERVAL_SECONDS, self._forget_silent)
@@ -323,7 +327,7 @@
 
     def _on_addresses(self, message):
         self._greet_new(message.addresses)
-        # When a datagram of the answer is lost, the next host that sends a status is asked again.
+        # If a datagram of the answer was lost, the next host that sends a status is asked.
         self._has_all_addresses = self._directory.size + 1 >= message.total
 
     def _find_status(self, incarnation):
--- a/packages/relay/src/camphorshelf_relay/prober.py
+++ b/packages/relay/src/camphorshelf_relay/prober.py
@@ -3,8 +3,8 @@
 from camphorshelf_core.budget import TokenBucket
 from camphorshelf_core.loadprobes import PROBE_WAIT_SECONDS
 
-# Beyond this rate targets are chosen by the load known already; a target's node refuses a request
-# that it has no room for.
+# Above this rate, targets are chosen by their last known load. A target's node refuses a request
+# for which the target has no capacity.
 _MAX_PROBES_PER_SECOND = 200
 
 
@@ -26,7 +26,7 @@
         self.counts = {"sent": 0, "late": 0, "over_budget": 0}
 
     def probe(self, addresses, is_sufficient, on_done):
-        """Probe several hosts for one choice of a target.
+        """Probe the load of several hosts before one target is chosen.
 
         The round is done as soon as one answer is sufficient, all hosts have answered, or
         ``PROBE_WAIT_SECONDS`` have passed.
@@ -85,7 +85,7 @@
 
 
 class _Round:
-    """The probes that were sent for one choice of a target.
+    """The probes that are sent before the target of one request is chosen.
 
     :ivar addresses: the link addresses of the hosts that have not answered.
     :ivar timer: ends the round when answers are missing.
--- a/packages/relay/src/camphorshelf_relay/relay.py
+++ b/packages/relay/src/camphorshelf_relay/relay.py
@@ -45,7 +45,7 @@
         elapsed_s = (
             0.0
             if caller_metadata.timeout_s is None
-            else self._stats.elapsed_before(caller_metadata.timeout_s)
+            else self._stats.estimate_elapsed(caller_metadata.timeout_s)
         )
         self._expires_at = self._received_at + timeout_s
         self._objective_at = self._received_at + route.objective_s - elapsed_s
@@ -121,12 +121,12 @@
         if on_time and self._offer_count < _MAX_ON_TIME_OFFERS:
             self._offer(on_time[0], LatePolicy.REJECT)
         elif self._late_offer_count < self._late_policy and (untried or not self._late_offer_count):
-            # By the load known here, no target will answer within the objective. The node beside
-            # the best target knows its load better, and queues a limited number of late requests.
+            # By the load known here, no target will answer within the objective. The best target's
+            # own node knows its load better, and queues a limited number of late requests.
             self._late_offer_count += 1
             self._offer((untried or candidates)[0], self._late_policy)
         else:
-            self._refuse(Code.QUEUE_FULL, "no target can answer within the request's time")
+            self._refuse(Code.QUEUE_FULL, "no target can respond in time for the request")
 
     def _rank_targets(self, now):
         router = self._router
@@ -197,8 +197,8 @@
         if message.status < 300:
             self._stats.record_work(message.ran_s / max(0.1, message.slowness))
         if is_failure and self._route.idempotent:
-            # If no other target answers, the caller gets this response. A refusal as not run would
-            # be wrong, for the request has run.
+            # If no other target answers, the caller gets this response. A refusal that says the
+            # request did not run would be wrong.
             self._failed_response = offer, message
             if self._pending_offers:
                 return
@@ -371,7 +371,7 @@
 
 
 class _Offer:
-    """One transmission of a request to the node beside one target."""
+    """One transmission of a request to one target's node."""
 
     def __init__(self, relay, candidate):
         self._relay = relay
--- a/packages/relay/src/camphorshelf_relay/router.py
+++ b/packages/relay/src/camphorshelf_relay/router.py
@@ -13,12 +13,12 @@
 
 
 class Router:
-    """Routes callers' requests, and holds what all requests at this entry node share.
+    """Routes callers' requests, and holds the state that all requests at this entry node share.
 
     :param loop: the node's loop.
     :param settings: the :class:`~camphorshelf_relay.settings.NodeSettings`.
     :param header_codec: the :class:`~camphorshelf_relay.settings.HeaderCodec`.
-    :param config: the :class:`~camphorshelf_relay.configsync.ConfigSynchronizer`.
+    :param config_sync: the :class:`~camphorshelf_relay.configsync.ConfigSynchronizer`.
     :param peers: the :class:`~camphorshelf_relay.peers.Peers`.
     :param admission_controller: the
         :class:`~camphorshelf_relay.admissioncontroller.AdmissionController` of this host's target.
@@ -32,7 +32,7 @@
         loop,
         settings,
         header_codec,
-        config,
+        config_sync,
         peers,
         admission_controller,
         own_view,
@@ -47,7 +47,7 @@
         self.route_stats = RouteStatsTable()
         self._settings = settings
         self._header_codec = header_codec
-        self._config = config
+        self._config_sync = config_sync
         self._peers = peers
         self._admission_controller = admission_controller
         self._own_view = own_view
@@ -58,7 +58,7 @@
         self.retry_counts = {}
         # Called with the route's name, the outcome and the seconds of each finished request.
         self.on_outcome = lambda route, outcome, seconds: None
-        config.on_change(self._on_config)
+        config_sync.on_change(self._on_config)
 
     def probe(self, candidates, probed, on_done):
         """Probe the load of some candidates, if that is needed to choose a target.
@@ -96,7 +96,7 @@
         :return: None.
         """
         caller_metadata = self._header_codec.parse_caller(exchange.request.headers)
-        if self._config.config is None:
+        if self._config_sync.config is None:
             refusal = Refusal(
                 Code.NODE_STARTING,
                 "the node has no configuration yet",
@@ -114,13 +114,14 @@
     def may_overlap(self, request):
         """Tell whether a request may run concurrently with others of the same connection.
 
-        Callers may pipeline several lookups on one connection. If each started only after the
-        previous answer, it would wait for all earlier ones although targets have free slots.
+        Callers may pipeline several idempotent requests on one connection. If each started only
+        after the response to the previous one, it would wait for all earlier ones although targets
+        have free slots.
 
         :param request: the :class:`~camphorshelf_core.calls.Request`.
         :return: True or False.
         """
-        route = self._find_route(request) if self._config.config is not None else None
+        route = self._find_route(request) if self._config_sync.config is not None else None
         return route is not None and route.idempotent
 
     def pick_service(self, route):
@@ -145,7 +146,7 @@
             own_view = self._own_view()
             if own_view.is_usable(now):
                 views.append(own_view)
-        evacuated = self._config.evacuations.current.domains
+        evacuated = self._config_sync.evacuations.current.domains
         if not evacuated:
             return views
         return [view for view in views if view.status.domain not in evacuated]
@@ -155,10 +156,10 @@
 
         :return: the domains' names, sorted.
         """
-        return sorted(self._config.evacuations.current.domains)
+        return sorted(self._config_sync.evacuations.current.domains)
 
     def send(self, address, message, on_done):
-        """Send a request to the node beside a target.
+        """Send a request to a target's node.
 
         :param address: the node's link address.
         :param message: the :class:`~camphorshelf_core.messages.RelayMessage`.
@@ -248,13 +249,13 @@
             route=name,
             ms=round(seconds * 1000, 1),
             objective_ms=0 if route is None else round(route.objective_s * 1000),
-            config=self._config.version,
+            config=self._config_sync.version,
             **fields,
         )
 
     def _find_route(self, request):
         host, path = find_host_and_path(request)
-        return self._config.route_table.find(host, path)
+        return self._config_sync.route_table.find(host, path)
 
     def _retry_budget(self, service):
         budget = self._retry_budgets.get(service)
--- a/packages/relay/src/camphorshelf_relay/routestats.py
+++ b/packages/relay/src/camphorshelf_relay/routestats.py
@@ -1,4 +1,4 @@
-"""Statistics that an entry node keeps per route: the service time and how long callers wait."""
+"""Statistics that an entry node keeps per route: the service time and the longest timeout."""
 
 # Assumed service time of a new route until the first answers arrive.
 _INITIAL_WORK_SECONDS = 0.1
@@ -13,14 +13,14 @@
 
     :ivar work_s: moving average of the service time at a target in seconds, normalised to a
         slowness of 1.0.
-    :ivar longest_wait_s: the longest time in seconds that a caller has said it waits.
+    :ivar longest_timeout_s: the longest timeout that a caller has announced, in seconds.
     """
 
-    __slots__ = ("work_s", "longest_wait_s", "_samples")
+    __slots__ = ("work_s", "longest_timeout_s", "_samples")
 
     def __init__(self, objective_s):
         self.work_s = min(_INITIAL_WORK_SECONDS, objective_s / 2)
-        self.longest_wait_s = 0.0
+        self.longest_timeout_s = 0.0
         self._samples = 0
 
     def record_work(self, seconds):
@@ -33,18 +33,18 @@
         weight = max(_SMOOTHING, 1 / (self._samples + 1)) if self._samples < _FIRST_SAMPLES else 0
         self.work_s += (weight or _SMOOTHING) * (seconds - self.work_s)
 
-    def elapsed_before(self, wait_s):
-        """Estimate how long a caller has already waited in its earlier attempts.
+    def estimate_elapsed(self, timeout_s):
+        """Record a caller's timeout, and estimate how long its earlier attempts took.
 
-        A caller that retries after a refusal announces a shorter wait than other callers of the
+        A caller that retries after a refusal announces a shorter timeout than other callers of the
         route; the difference is the time that has elapsed. The latency objective counts from the
         caller's first attempt.
 
-        :param wait_s: how long the caller still waits, in seconds.
+        :param timeout_s: the timeout that the caller announces for this attempt, in seconds.
         :return: the elapsed time in seconds.
         """
-        self.longest_wait_s = max(self.longest_wait_s, wait_s)
-        return self.longest_wait_s - wait_s
+        self.longest_timeout_s = max(self.longest_timeout_s, timeout_s)
+        return self.longest_timeout_s - timeout_s
 
 
 class RouteStatsTable:
--- a/packages/relay/src/camphorshelf_relay/target.py
+++ b/packages/relay/src/camphorshelf_relay/target.py
@@ -1,4 +1,7 @@
-"""The local target: which process of it runs, its load and its failures.
+"""The local target: which of its processes is running, its load and its failures.
+
+A cold target, for example one whose process has just started, tolerates only part of its usual
+load; see ``camphorshelf_core.warmup``.
 
 Only this node sends requests to the target. So only this node knows the target's current load, can
 say for certain that a request did not run, and can stop all new work at once when the target
@@ -13,8 +16,8 @@
 
 # Weight of a new outcome in the moving average of failures.
 _FAILURE_WEIGHT = 0.08
-# The failure share halves within this time. So a target that gets no work because of its failures
-# is tried again.
+# Without new outcomes, the failure rate halves within this time. So a target that gets no requests
+# because of its failures is tried again.
 _FAILURE_HALF_LIFE_SECONDS = 1.5
 
 
@@ -88,8 +91,8 @@
     @property
     def accepting(self):
         """Whether the target accepts new requests."""
-        is_wanted = self._is_configured and not self._is_evacuated and not self._stopping
-        return is_wanted and self._record.usable and self._admission.limit > 0
+        is_enabled = self._is_configured and not self._is_evacuated and not self._stopping
+        return is_enabled and self._record.usable and self._admission.limit > 0
 
     @property
     def closed_reason(self):
@@ -100,7 +103,7 @@
 
     @property
     def is_limited(self):
-        """Whether the start of requests is limited because the target is or may be cold."""
+        """Whether request starts are rate-limited because the target is cold or may be."""
         return self._warm_up.is_limited(self._loop.now())
 
     @property
@@ -110,7 +113,7 @@
 
     @property
     def failing(self):
-        """The share of recent requests that failed, decaying with time."""
+        """The failure rate: the share of recent requests that failed, decaying with time."""
         age = self._loop.now() - self._failing_at
         return self._failing * 0.5 ** (age / _FAILURE_HALF_LIFE_SECONDS)
 
@@ -182,7 +185,7 @@
         return accepted
 
     def deregister(self, instance, started_ms):
-        """Process the announcement of one of the target's processes that it is leaving for good.
+        """Process the deregistration of one of the target's processes, which then leaves for good.
 
         :param instance: the id of the process.
         :param started_ms: when it started, in Unix milliseconds, or None.
@@ -212,14 +215,14 @@
             self.on_change()
 
     def record_outcome(self, failed):
-        """Update the failure share with the outcome of one request.
+        """Update the failure rate with the outcome of one request.
 
         :param failed: whether the request failed at the target.
         :return: None.
         """
         value = 1.0 if failed else 0.0
-        share = self.failing
-        self._failing = share + _FAILURE_WEIGHT * (value - share)
+        rate = self.failing
+        self._failing = rate + _FAILURE_WEIGHT * (value - rate)
         self._failing_at = self._loop.now()
 
     def record_connection_lost(self):
--- a/packages/relay/src/camphorshelf_relay/targetconnection.py
+++ b/packages/relay/src/camphorshelf_relay/targetconnection.py
@@ -14,7 +14,7 @@
 
 _MAX_BODY_BYTES = 128 * 1024 * 1024
 # Request ids remembered per connection, to recognise a late second response to one of them. Few
-# other responses come before such a one.
+# responses to other requests arrive before such a response.
 _REMEMBERED_REQUESTS = 32
 
 
--- a/packages/relay/src/camphorshelf_relay/targetpool.py
+++ b/packages/relay/src/camphorshelf_relay/targetpool.py
@@ -5,8 +5,8 @@
 from .targetconnection import RequestFailure, TargetConnection
 
 # Share of the target's keep-alive timeout after which idle connections are closed. The node closes
-# them before the target does: a request that crosses the target's close is lost, and if it is not
-# idempotent it can't be sent again.
+# them before the target does: a request sent while the target closes the connection is lost, and if
+# it is not idempotent it can't be sent again.
 _KEEP_ALIVE_SHARE = 0.7
 _DEFAULT_KEEP_ALIVE_SECONDS = 4.0
 # Requests that are not idempotent only reuse a connection that was in use this recently. Targets
@@ -107,8 +107,8 @@
             if connection.stale:
                 connection.close()
             elif connection.has_carried(request_id):
-                # A late second response to the first attempt would be taken for the response to
-                # this one.
+                # An earlier attempt of this request used the connection. A late second response to
+                # it would be taken for the response to this attempt.
                 return None
             elif now - connection.idle_since > max_idle_s:
                 # Connections are sorted by last use: all others have been idle for longer.
--- a/packages/relay/src/camphorshelf_relay/targetrequest.py
+++ b/packages/relay/src/camphorshelf_relay/targetrequest.py
@@ -8,8 +8,8 @@
 
 from .targetconnection import TargetResponse
 
-# If opening the connection delays a request by more than this, the request is checked again before
-# it is written.
+# If opening the connection delays a request by more than this, the node checks again whether the
+# target accepts requests before it writes the request.
 _LATE_WRITE_SECONDS = 0.1
 
 
@@ -133,10 +133,10 @@
         )
         request = Request(message.method, message.path, headers, message.body)
         self._abort = target.pool.send(
-            request, message.request_id, message.idempotent, self._on_result, self._is_still_wanted
+            request, message.request_id, message.idempotent, self._on_result, self._check_late_write
         )
 
-    def _is_still_wanted(self):
+    def _check_late_write(self):
         now = self._loop.now()
         if now - self._started_at <= _LATE_WRITE_SECONDS:
             return True
@@ -175,7 +175,7 @@
             return
         if metadata.falsely_implies_not_run:
             # The caller would take this status as a promise that the request did not run, and
-            # would send an order again that may have been executed.
+            # would repeat a request that may have been executed.
             target.record_outcome(True)
             reason = f"the target answered {response.status} without confirming that it did not run"
             self.send_refusal(Code.TARGET_LOST, reason, Ran.OUTCOME_UNKNOWN, reached=True)
