--- a/packages/core/src/camphorshelf_core/admission.py
+++ b/packages/core/src/camphorshelf_core/admission.py
@@ -3,6 +3,8 @@
 Entry nodes see load reports that are already old, so only this node knows the exact number of
 calls in flight when load shifts within milliseconds. The queue absorbs a burst up to its capacity
 plus the free slots. A call beyond that is refused at once, so that it can go to another target.
+
+Used by the package ``node``; the package ``relay`` uses the module ``admissionqueue`` instead.
 """
 
 from enum import IntEnum
@@ -20,17 +22,21 @@
 # target has free slots.
 QUEUE_PER_SLOT = 4
 _FIFO_QUEUE_PER_SLOT = 2
-# While lookups and other calls are queued, one start in five is another call: lookups go first, but
-# reorders get at least a fifth of the starts, so that they are delayed and never starve.
+# While lookups and other calls are queued, one start in five is not a lookup: the other calls are
+# delayed, but they get at least a fifth of the starts and never starve.
 _MAX_CONSECUTIVE_LOOKUPS = 4
 # A fifth of the slots (2 of 10) is reserved for calls that aren't long. With all ten slots taken by
-# reports of 200 ms, a lookup of 2 ms would wait 20 ms for the next free slot.
+# calls of 200 ms, a lookup of 2 ms would wait 20 ms for the next free slot.
 _SHORT_CALL_SHARE = 0.2
 _LOOKUP_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 
 
 class CallClass(IntEnum):
-    """The class of a call, the most urgent first; a call is ``LONG`` by its usual service time."""
+    """The class of a call, the most urgent first.
+
+    ``LOOKUP`` is a call with a safe method (such as GET), ``REORDER`` any other call. Either is
+    ``LONG`` instead if calls of its kind take much longer than others.
+    """
 
     LOOKUP = 0
     REORDER = 1
@@ -308,8 +314,8 @@
     def _admit(self, call, now):
         if self._policy.reserve and self._service_times.check_long(call.kind, now):
             call.call_class = CallClass.LONG
-        # Queued calls are started as soon as a slot is free for them, so a slot that is free for
-        # this call now is not due to a queued one.
+        # Queued calls are started as soon as a slot is free for them, so no queued call could use
+        # the slot that is free for this one.
         if self._has_free_slot(call.call_class):
             self._sojourn.record_free_slot(now)
             if self._misses_deadline(call, now, 0):
@@ -318,8 +324,9 @@
                 self._start(call, now)
             return
         queue = self._queue_for(call)
-        own, callers = queue.count_waiting(call)
-        if self._misses_deadline(call, now, min(len(queue), (own + 1) * callers)):
+        own_count, caller_count = queue.count_waiting(call)
+        # Callers take turns, so about one call of each caller starts for each call of this one.
+        if self._misses_deadline(call, now, min(len(queue), (own_count + 1) * caller_count)):
             self._refuse_deadline(call, now)
         else:
             self._enqueue(call, queue, now)
@@ -362,11 +369,11 @@
             self._refuse_queue_full(queue, evicted, now)
 
     def _refuse_queue_full(self, queue, call, now):
-        _, callers = queue.count_waiting(call)
+        _, caller_count = queue.count_waiting(call)
         if any(queued_call is call for queued_call in queue):
             queue.remove(call)
         code, reason = Code.QUEUE_FULL, "the target's queue is full"
-        if callers > 1:
+        if caller_count > 1:
             code, reason = Code.SHARE_EXCEEDED, "the queue is full and this caller has most of it"
         call.refuse(Refusal(code, reason, retry_after_ms=self._draw_retry_after_ms(now)))
 
@@ -380,12 +387,12 @@
             self.queued, self.limit, self._service_times.overall_mean, now
         )
 
-    def _misses_deadline(self, call, now, ahead):
+    def _misses_deadline(self, call, now, calls_ahead):
         # An idle target always gets the call. If the smoothed service time were too high (after one
         # slow minute), no call would run to correct it, and all calls would be refused for ever.
         if not self._policy.deadline_check or self._in_flight == 0:
             return False
-        wait_s = ahead * self._service_times.overall_mean / max(1, self.limit)
+        wait_s = calls_ahead * self._service_times.overall_mean / max(1, self.limit)
         return wait_s + self._service_times.min_estimate(call.kind) > call.deadline - now
 
     def _expires_at(self, call):
@@ -417,17 +424,21 @@
         if self._in_flight >= self.limit:
             return None
         lookups, reorders, long = self._queues
-        others = [reorders] if len(reorders) else []
+        other_queues = [reorders] if len(reorders) else []
         if len(long) and self._has_free_slot(CallClass.LONG):
-            others.append(long)
-        if others and (not len(lookups) or self._consecutive_lookups >= _MAX_CONSECUTIVE_LOOKUPS):
-            return min(others, key=_oldest_offer)
+            other_queues.append(long)
+        if other_queues and (
+            not len(lookups) or self._consecutive_lookups >= _MAX_CONSECUTIVE_LOOKUPS
+        ):
+            return min(other_queues, key=_oldest_offer)
         return lookups if len(lookups) else None
 
     def _count_consecutive_lookups(self, call):
         is_lookup = call.call_class is CallClass.LOOKUP
-        others = len(self._queues[CallClass.REORDER]) + len(self._queues[CallClass.LONG])
-        self._consecutive_lookups = self._consecutive_lookups + 1 if is_lookup and others else 0
+        other_count = len(self._queues[CallClass.REORDER]) + len(self._queues[CallClass.LONG])
+        self._consecutive_lookups = (
+            self._consecutive_lookups + 1 if is_lookup and other_count else 0
+        )
 
     def _is_overdue(self, call, now):
         if self._expires_at(call) <= now:
--- a/packages/core/src/camphorshelf_core/admissionqueue.py
+++ b/packages/core/src/camphorshelf_core/admissionqueue.py
@@ -7,7 +7,10 @@
 its caller can still go to another target or retry.
 
 The target's own queue stays empty, because a request that waits there can be neither reordered nor
-shed. Besides, the last slots of most servers slow down all requests by more than they add.
+shed. Not every slot of the target is used either: in most servers the last slots slow down all
+requests and so cost more throughput than they add.
+
+Used by the package ``relay``; the package ``node`` uses the module ``admission`` instead.
 """
 
 import heapq
@@ -19,12 +22,12 @@
 from .slotlimit import SlotLimit
 from .warmup import WarmUp
 
-# More urgent requests that arrive later overtake queued ones with a late objective. In a long queue
-# so many do that all of these start too late; in a short queue few do.
+# A queued request is overtaken by more urgent ones that arrive later. In a long queue so many
+# overtake that all requests with a distant objective start too late; in a short queue few do.
 _QUEUE_PER_SLOT = 2.0
 # Late jobs only get a short queue, or they would take the slots of jobs that are still in time.
-# Without any, a running request would fail when the calls it waits for are rejected. The limit
-# counts work and not jobs, so that short calls use little of it.
+# Without a late queue, a running request would fail when the calls it waits for are rejected. The
+# capacity is measured in work and not in jobs, so that short calls use little of it.
 _LATE_PER_SLOT = 0.5
 # With less time left than this share of its mean run time, a job would seldom meet its deadline.
 _MIN_TIME_LEFT_SHARE = 0.7
@@ -45,12 +48,16 @@
 class AdmissionQueue:
     """Admission control of one target: exact counts of running jobs, and a priority queue.
 
+    The attribute ``running`` is the number of running jobs, ``slowness`` how long requests take
+    now, relative to usual (1.0), and ``work_s`` their smoothed run time at a slowness of 1.0.
+
     :param slots: how many requests the target says it can process at once.
     :param warm_up: the target's :class:`~camphorshelf_core.warmup.WarmUp`.
     """
 
     def __init__(self, slots=0, warm_up=None):
-        self._order = itertools.count()
+        # Breaks ties between jobs with equal keys: the first to come is the first to start.
+        self._sequence_numbers = itertools.count()
         self._queue = []
         self._queued = Counter()
         self._late_work_s = 0.0
@@ -115,12 +122,12 @@
         :return: seconds.
         """
         key = _key(job)
-        ahead = [
+        work_ahead = [
             other.work_s
-            for at, _, other in self._queue
-            if other.state is JobState.QUEUED and at <= key
+            for other_key, _, other in self._queue
+            if other.state is JobState.QUEUED and other_key <= key
         ]
-        return self._delay_behind(sum(ahead), len(ahead), job, now)
+        return self._delay_behind(sum(work_ahead), len(work_ahead), job, now)
 
     def next_dispatch_s(self, now):
         """Return when the next queued job may start, if only the target's warm-up delays it.
@@ -204,16 +211,16 @@
         :param now: seconds on the monotonic clock.
         :return: None.
         """
-        ahead, count = 0.0, 0
+        work_ahead_s, count_ahead = 0.0, 0
         queued = [entry for entry in self._queue if entry[2].state is JobState.QUEUED]
         for _, _, job in sorted(queued):
-            wait_s = self._delay_behind(ahead, count, job, now)
+            wait_s = self._delay_behind(work_ahead_s, count_ahead, job, now)
             if job.queue_class is not QueueClass.LATE and self._is_late(job, now + wait_s):
                 self._dequeue(job)
                 self._shed(job, wait_s)
             else:
-                ahead += job.work_s
-                count += 1
+                work_ahead_s += job.work_s
+                count_ahead += 1
 
     def close(self, now):
         """Admit no more jobs and shed all queued ones.
@@ -248,8 +255,8 @@
         # A slot is free after the mean work divided by the number of slots; each job ahead delays
         # this one by its work divided by the number of slots.
         first_work_s = self.work_s or job.work_s
-        slot_s = (work_ahead_s + first_work_s) / max(1, self.limit) * self.slowness
-        return max(slot_s, warm_up_s)
+        slot_wait_s = (work_ahead_s + first_work_s) / max(1, self.limit) * self.slowness
+        return max(slot_wait_s, warm_up_s)
 
     def _find_queue_place(self, job, start_at, now):
         if not self._is_late(job, start_at):
@@ -286,8 +293,8 @@
         return start_at + self._run_s(job) > job.due_at
 
     def _is_overdue(self, job, now):
-        is_bound = job.queue_class is QueueClass.LATE or job.late_policy is LatePolicy.REJECT
-        return is_bound and now + self._run_s(job) * 0.5 > job.due_at
+        must_be_on_time = job.queue_class is QueueClass.LATE or job.late_policy is LatePolicy.REJECT
+        return must_be_on_time and now + self._run_s(job) * 0.5 > job.due_at
 
     def _start(self, job, now):
         job.state = JobState.RUNNING
@@ -301,7 +308,7 @@
         self._queued[job.queue_class] += 1
         if job.queue_class is QueueClass.LATE:
             self._late_work_s += job.work_s
-        heapq.heappush(self._queue, (_key(job), next(self._order), job))
+        heapq.heappush(self._queue, (_key(job), next(self._sequence_numbers), job))
 
     def _dequeue(self, job):
         self._queued[job.queue_class] -= 1
@@ -320,6 +327,6 @@
 
 
 def _key(job):
-    # Late jobs come after all others; then the more important job is first, then the one with
-    # the earlier objective.
+    # Sorts late jobs after all others, then by priority with the most urgent first, then by
+    # objective with the earliest first.
     return job.queue_class is QueueClass.LATE, job.priority, job.objective_at
--- a/packages/core/src/camphorshelf_core/baselines.py
+++ b/packages/core/src/camphorshelf_core/baselines.py
@@ -11,11 +11,11 @@
     :param settings: the :class:`~camphorshelf_core.settings.EntrySettings`.
     :param failure_domain: the entry node's own failure domain.
     :param random: a ``random.Random``.
-    :return: a function like that of :func:`~camphorshelf_core.routing.make_policy`.
+    :return: a function like the one that :func:`~camphorshelf_core.routing.make_policy` returns.
     """
     if settings.policy == "ours":
         return make_policy(settings, failure_domain, random)
-    pick = _PICKS[settings.policy](random)
+    pick = _PICK_FACTORIES[settings.policy](random)
 
     def choose(candidates, exclude=()):
         # The baselines ignore ejections: ejection is part of what they are compared with.
@@ -38,11 +38,11 @@
 
 
 def _make_least_reported(random):
-    # The reported load counts at face value, however old the report is.
+    # The reported load counts in full, however old the report is.
     return lambda usable: min(usable, key=lambda candidate: (candidate.reported, random.random()))
 
 
-_PICKS = {
+_PICK_FACTORIES = {
     "random": _make_random,
     "round_robin": _make_round_robin,
     "least_reported": _make_least_reported,
--- a/packages/core/src/camphorshelf_core/circuit.py
+++ b/packages/core/src/camphorshelf_core/circuit.py
@@ -2,9 +2,10 @@
 
 Handles the load on a recovering platform that every node has been waiting for. Without it each call
 would wait for a timeout and each node would go on sending, so the platform would come back under
-the traffic of the whole system. Three failures in a row are more than one lost packet and fewer
-than the calls within a tenth of a second. The wait doubles up to five seconds, which is short
-compared with an outage, and has jitter, so that the nodes don't return all at once.
+the traffic of the whole system. One lost packet doesn't cause three failures in a row, and more
+than three calls are made within a tenth of a second, so the circuit opens soon. The wait doubles up
+to five seconds, which is short compared with an outage, and has jitter, so that the nodes don't
+return all at once.
 """
 
 FAILURES_TO_OPEN = 3
@@ -30,7 +31,7 @@
         return self._next_trial_at is not None
 
     def allows(self, now):
-        """Return whether a request may be sent; while open, True starts the one trial.
+        """Return whether a request may be sent; while open, this allows one trial per wait.
 
         :param now: seconds on the monotonic clock.
         :return: True or False.
--- a/packages/core/src/camphorshelf_core/drain.py
+++ b/packages/core/src/camphorshelf_core/drain.py
@@ -13,17 +13,17 @@
 
 
 class Source(Enum):
-    """Who requests a target to leave."""
+    """Who requested that a target leave."""
 
     OPERATOR = "operator"
     TARGET = "target"
 
 
 class Drain:
-    """Tracks who requests the target to leave, and whether it was notified that it is empty.
+    """Tracks who requested that the target leave, and whether it was notified that it is empty.
 
-    Both its operator and the target itself can request it; a revoked request leaves the other one
-    in force.
+    An operator and the target itself can both request it; if one revokes its request, the other's
+    stays in force.
     """
 
     def __init__(self):
@@ -85,7 +85,7 @@
         self._is_notified = True
 
     def record_gone(self):
-        """Record that the target has ended: its own request is done, an operator's stays in force.
+        """Record that the target has ended, and drop its own request; an operator's stays in force.
 
         :return: None.
         """
--- a/packages/core/src/camphorshelf_core/evacuation.py
+++ b/packages/core/src/camphorshelf_core/evacuation.py
@@ -2,7 +2,7 @@
 
 Nodes learn of evacuations from the store or from each other, in any order and after any restart. So
 all evacuations form one value with the version of the store that it was read at, and of two values
-the one with the higher version is valid.
+the one with the higher version replaces the other.
 """
 
 from typing import NamedTuple
@@ -14,7 +14,7 @@
     :param as_of: the store's version that this was read at; 0 when nothing is known.
     :param changed_at: the version at which these domains were first seen; 0 when no evacuation was
         ever seen.
-    :param domains: the versions of the operators' rows, by failure domain.
+    :param domains: the evacuated failure domains, each with the version of its row in the store.
     """
 
     as_of: int = 0
@@ -32,7 +32,7 @@
     def with_updates(self, domains, version):
         """Return the evacuations at a newer version of the store.
 
-        :param domains: the versions of the operators' rows, by failure domain.
+        :param domains: the evacuated failure domains, each with the version of its row.
         :param version: the store's version that the rows were read at.
         :return: the :class:`Evacuations` of that version.
         """
--- a/packages/core/src/camphorshelf_core/health.py
+++ b/packages/core/src/camphorshelf_core/health.py
@@ -15,7 +15,8 @@
 _SMOOTHING = 0.15
 _MIN_FAILURE_SHARE = 0.5
 _MIN_ANSWERS = 8
-# When the other targets fail too, the requests or a shared dependency are the cause.
+# A target is only ejected if its failure share is this many times the median of the others: when
+# these fail too, the requests or a shared dependency are the cause.
 _OTHERS_FACTOR = 2.0
 _FIRST_EJECTION_SECONDS = 1.0
 _MAX_EJECTION_SECONDS = 30.0
@@ -23,6 +24,7 @@
 _FAILURE_HALF_LIFE_SECONDS = 10.0
 # After this long without an ejection, the next one has the shortest duration again.
 _BACKOFF_RESET_SECONDS = 60.0
+# How long the weight of a target rises after its ejection has ended.
 RETURN_SECONDS = 5.0
 _MAX_EJECTED_SHARE = 1 / 3
 
@@ -71,7 +73,7 @@
         :return: whether this outcome ejected the target.
         """
         record = self._records.setdefault(target, _Record())
-        self.update(target, now)
+        self.check_ejected(target, now)
         record.answers += 1
         record.failure_share += _SMOOTHING * (failed - record.failure_share)
         record.consecutive_failures = record.consecutive_failures + 1 if failed else 0
@@ -87,8 +89,8 @@
         self._eject(record, now)
         return True
 
-    def update(self, target, now):
-        """End a target's ejection if its time is over.
+    def check_ejected(self, target, now):
+        """Return whether a target is ejected, and end an ejection whose time is over.
 
         :param target: the target's name.
         :param now: seconds on the monotonic clock.
@@ -160,7 +162,7 @@
         return record.failure_share >= _OTHERS_FACTOR * others[len(others) // 2]
 
     def _ejected_count(self, targets, now):
-        return sum(self.update(other, now) for other in targets)
+        return sum(self.check_ejected(other, now) for other in targets)
 
     def _eject(self, record, now):
         is_backoff_reset = (
--- a/packages/core/src/camphorshelf_core/invariants.py
+++ b/packages/core/src/camphorshelf_core/invariants.py
@@ -1,4 +1,4 @@
-"""Counts violated invariants, so that a node refuses calls instead of continuing wrongly."""
+"""Counts violated invariants, so that a node refuses calls instead of running them wrongly."""
 
 from collections import Counter
 
--- a/packages/core/src/camphorshelf_core/limit.py
+++ b/packages/core/src/camphorshelf_core/limit.py
@@ -16,15 +16,17 @@
 _WINDOW_CALLS = 10
 _CUT_FACTOR = 0.75
 _SHED_FACTOR = 0.7
-# A fifth of the slots (2 of 10) suffices to measure a slow target and to keep two callers apart.
+# A fifth of the slots (2 of 10) suffices to measure a slow target and to serve two callers at once.
 _FLOOR_SHARE = 0.2
-# A cut that lost throughput is undone, and the next cut waits: twice as long each time.
+# A cut that lost throughput is undone. The next cut is then delayed, twice as long each time.
 _HOLD_SECONDS = 2.0
 _MAX_HOLD_SECONDS = 60.0
 _MIN_THROUGHPUT_RATIO = 0.9
 
 
 class _Cut(NamedTuple):
+    """The limit and the throughput before a cut."""
+
     limit: int
     throughput: float
 
--- a/packages/core/src/camphorshelf_core/load.py
+++ b/packages/core/src/camphorshelf_core/load.py
@@ -13,9 +13,9 @@
 class LoadReport(NamedTuple):
     """The load of a target when its node answered.
 
-    Times are in milliseconds. ``in_flight`` and ``queued`` are exact counts. ``at_ms`` is the
-    reporting node's monotonic clock, or 0 without one. ``config_version`` is the version of the
-    configuration that the node applied.
+    Times are in milliseconds. ``in_flight`` and ``queued`` are exact counts, ``latency_ms`` is
+    the smoothed service time. ``at_ms`` is the reporting node's monotonic clock, or 0 without one.
+    ``config_version`` is the version of the configuration that the node applied.
     """
 
     in_flight: int
--- a/packages/core/src/camphorshelf_core/loadprobes.py
+++ b/packages/core/src/camphorshelf_core/loadprobes.py
@@ -17,7 +17,7 @@
 MAX_PROBE_ROUNDS = 2
 # The longest wait for the answers to the probes of one decision.
 PROBE_WAIT_SECONDS = 0.01
-# The slowness of a host without noisy neighbours, with a margin for the precision of the figure.
+# The slowness of a host without noisy neighbours, with a margin for measurement error.
 _MAX_NORMAL_SLOWNESS = 1.1
 
 
@@ -59,15 +59,15 @@
     """Return whether one host's answer is good enough not to wait for the others.
 
     On hosts with half a processor core, the first of three answers takes 2 ms and the slowest one
-    5 to 10 ms. A fast host in the own failure domain with a free slot is as good as any host that
-    may still answer.
+    5 to 10 ms. A fast host in this node's failure domain with a free slot is as good as any host
+    that may still answer.
 
     :param view: the :class:`~camphorshelf_core.hosts.HostView` of the host that answered.
-    :param domain: the own failure domain.
+    :param domain: this node's failure domain.
     :param now: seconds on the monotonic clock.
     :return: True or False.
     """
     status = view.status
     is_healthy = status.failure_ratio < MAX_FAILURE_SHARE / 2 and status.warming_s == 0
-    is_near_and_fast = status.domain == domain and status.slowness <= _MAX_NORMAL_SLOWNESS
-    return is_healthy and is_near_and_fast and has_room(view, now)
+    is_local_and_fast = status.domain == domain and status.slowness <= _MAX_NORMAL_SLOWNESS
+    return is_healthy and is_local_and_fast and has_room(view, now)
--- a/packages/core/src/camphorshelf_core/quarantine.py
+++ b/packages/core/src/camphorshelf_core/quarantine.py
@@ -96,14 +96,14 @@
     def __iter__(self):
         return iter(list(self._records))
 
-    def standing(self, name, now):
+    def standing(self, fingerprint, now):
         """Return the standing of a request.
 
-        :param name: its fingerprint.
+        :param fingerprint: the request's fingerprint.
         :param now: wall-clock seconds.
         :return: a :class:`Standing`.
         """
-        record = self._records.get(name)
+        record = self._records.get(fingerprint)
         if record is None:
             return Standing.CLEAR
         count = record.count()
@@ -115,25 +115,25 @@
             return Standing.SUSPECT
         return Standing.CLEAR
 
-    def seconds_left(self, name, now):
+    def seconds_left(self, fingerprint, now):
         """Return how long a request stays refused.
 
-        :param name: its fingerprint.
+        :param fingerprint: the request's fingerprint.
         :param now: wall-clock seconds.
         :return: seconds, 0.0 when it is not refused.
         """
-        if self.standing(name, now) is not Standing.REFUSED:
+        if self.standing(fingerprint, now) is not Standing.REFUSED:
             return 0.0
-        return self._records[name].last_crash_at() + self._hold_s - now
+        return self._records[fingerprint].last_crash_at() + self._hold_s - now
 
-    def evidence(self, name):
+    def counted_crashes(self, fingerprint):
         """Return the crashes that count against a request.
 
-        :param name: its fingerprint.
+        :param fingerprint: the request's fingerprint.
         :return: the pair of a dict of :class:`Crashes` by node, and when the request was last
             cleared, in wall-clock seconds.
         """
-        record = self._records.get(name)
+        record = self._records.get(fingerprint)
         if record is None:
             return {}, 0.0
         current = {
@@ -143,67 +143,71 @@
         }
         return current, record.cleared_at
 
-    def cleared_at(self, name):
+    def cleared_at(self, fingerprint):
         """Return when a request was last cleared.
 
-        :param name: its fingerprint.
+        :param fingerprint: the request's fingerprint.
         :return: wall-clock seconds, 0.0 when never.
         """
-        return self.evidence(name)[1]
+        return self.counted_crashes(fingerprint)[1]
 
-    def record_crash(self, names, now):
+    def record_crash(self, fingerprints, now):
         """Record a crash of this node's target, and blame requests that were in flight.
 
-        :param names: the fingerprints of all requests that were in flight.
+        :param fingerprints: the fingerprints of all requests that were in flight.
         :param now: wall-clock seconds.
         :return: the fingerprints that are blamed.
         """
-        names = set(names)
-        blamed = {name for name in names if self.standing(name, now) is not Standing.CLEAR}
-        blamed = blamed or names
-        for name in blamed:
-            current, _ = self.evidence(name)
+        fingerprints = set(fingerprints)
+        blamed = {
+            fingerprint
+            for fingerprint in fingerprints
+            if self.standing(fingerprint, now) is not Standing.CLEAR
+        }
+        blamed = blamed or fingerprints
+        for fingerprint in blamed:
+            current, _ = self.counted_crashes(fingerprint)
             before = current.get(self._node, Crashes(0, now)).count
-            self.merge_crashes(name, self._node, Crashes(before + 1, now), now)
+            self.merge_crashes(fingerprint, self._node, Crashes(before + 1, now), now)
         return blamed
 
-    def record_completed(self, name, started, now):
+    def record_completed(self, fingerprint, started_at, now):
         """Clear a suspect that ran to its answer; a refused request stays refused.
 
-        :param name: its fingerprint.
-        :param started: when the run began, in wall-clock seconds.
+        :param fingerprint: the request's fingerprint.
+        :param started_at: when the run began, in wall-clock seconds.
         :param now: wall-clock seconds.
         :return: whether it was cleared now.
         """
-        if self.standing(name, now) is not Standing.SUSPECT:
+        if self.standing(fingerprint, now) is not Standing.SUSPECT:
             return False
-        if started < self._records[name].last_crash_at():
+        if started_at < self._records[fingerprint].last_crash_at():
             return False
-        self.merge_cleared(name, now)
+        self.merge_cleared(fingerprint, now)
         return True
 
-    def lift(self, name, now):
+    def lift(self, fingerprint, now):
         """Lift the quarantine or suspicion of a request.
 
-        :param name: its fingerprint.
+        :param fingerprint: the request's fingerprint.
         :param now: wall-clock seconds.
         :return: whether the request was a suspect or refused.
         """
-        if self.standing(name, now) is Standing.CLEAR:
+        if self.standing(fingerprint, now) is Standing.CLEAR:
             return False
-        self.merge_cleared(name, max(now, self._records[name].last_crash_at()))
+        self.merge_cleared(fingerprint, max(now, self._records[fingerprint].last_crash_at()))
         return True
 
-    def merge_crashes(self, name, node, crashes, now):
+    def merge_crashes(self, fingerprint, node, crashes, now):
         """Merge the crash count of a node; an older count changes nothing.
 
-        :param name: the request's fingerprint.
+        :param fingerprint: the request's fingerprint.
         :param node: the node that counted.
         :param crashes: its :class:`Crashes`.
         :param now: wall-clock seconds.
         :return: None.
         """
-        record = self._record(name, now)
+        record = self._record(fingerprint, now)
         known = record.by_node.get(node)
         # Of two counts at the same time the higher one wins, whatever their order.
         if known is not None and (known.at, known.count) >= (crashes.at, crashes.count):
@@ -212,14 +216,14 @@
             return
         record.by_node[node] = crashes
 
-    def merge_cleared(self, name, at):
+    def merge_cleared(self, fingerprint, at):
         """Merge the time at which a request was cleared or its quarantine lifted.
 
-        :param name: the request's fingerprint.
+        :param fingerprint: the request's fingerprint.
         :param at: the time in wall-clock seconds.
         :return: None.
         """
-        record = self._record(name, at)
+        record = self._record(fingerprint, at)
         record.cleared_at = max(record.cleared_at, at)
 
     def remove_expired(self, now):
@@ -230,28 +234,28 @@
         """
         lifetime_s = max(self._hold_s, self._suspicion_s)
         expired = [
-            name
-            for name, record in self._records.items()
+            fingerprint
+            for fingerprint, record in self._records.items()
             if max(record.last_crash_at(), record.cleared_at) + lifetime_s < now
         ]
-        for name in expired:
-            del self._records[name]
+        for fingerprint in expired:
+            del self._records[fingerprint]
         return expired
 
-    def _record(self, name, now):
-        record = self._records.get(name)
+    def _record(self, fingerprint, now):
+        record = self._records.get(fingerprint)
         if record is None:
             if len(self._records) >= self._max_records:
                 self._evict(now)
-            record = self._records[name] = _Record()
+            record = self._records[fingerprint] = _Record()
         return record
 
     def _evict(self, now):
         # Refused requests are evicted last: many harmless suspects must not displace the one
         # request that is known to crash targets.
-        def eviction_key(name):
-            return self.standing(name, now), self._records[name].last_crash_at()
+        def eviction_key(fingerprint):
+            return self.standing(fingerprint, now), self._records[fingerprint].last_crash_at()
 
         by_eviction_order = sorted(self._records, key=eviction_key)
-        for name in by_eviction_order[: max(1, len(by_eviction_order) // _EVICTION_DIVISOR)]:
-            del self._records[name]
+        for fingerprint in by_eviction_order[: max(1, len(by_eviction_order) // _EVICTION_DIVISOR)]:
+            del self._records[fingerprint]
--- a/packages/core/src/camphorshelf_core/ramp.py
+++ b/packages/core/src/camphorshelf_core/ramp.py
@@ -9,8 +9,8 @@
 # fill up.
 RAMP_SECONDS = 10.0
 MIN_SHARE = 0.1
-# A weight of 1 is gone after four seconds, so that a target whose weight is set to 0 gets no new
-# requests after a few seconds. A leaving target gets none at once, without this limit.
+# A weight of 1 falls to 0 in four seconds, so a target whose weight is set to 0 gets no new
+# requests after a few seconds. A leaving target is exempt: it gets none as soon as it leaves.
 MAX_WEIGHT_CHANGE_PER_SECOND = 0.25
 
 
--- a/packages/core/src/camphorshelf_core/refusal.py
+++ b/packages/core/src/camphorshelf_core/refusal.py
@@ -1,4 +1,4 @@
-"""Chooses the delay after which a refused caller should retry.
+"""Chooses how long a caller that was refused by a target's node should wait before it retries.
 
 Handles a burst that is refused as a whole. With one fixed Retry-After the whole burst would return
 in the same moment and be refused again, for ever. The delays are spread over the time that the
--- a/packages/core/src/camphorshelf_core/retryafter.py
+++ b/packages/core/src/camphorshelf_core/retryafter.py
@@ -1,4 +1,4 @@
-"""Chooses the delay after which a refused caller should retry (Retry-After), with jitter.
+"""Chooses how long a caller that was refused by an entry node should wait before it retries.
 
 Handles saturation, where many callers are refused within a moment. With the same delay for all of
 them the burst would repeat, and for most callers a retry after their latency objective is useless.
@@ -18,7 +18,7 @@
     """Choose the delay for a caller whose request was shed by the target itself.
 
     Handles a service whose targets all shed a part of their requests, whatever their load. Retries
-    between nodes share one budget of all services, but retries by the caller don't use it.
+    by nodes draw on one budget for all services; retries by the caller don't use it up.
 
     :param random: the source of random numbers.
     :return: seconds.
--- a/packages/core/src/camphorshelf_core/sensing.py
+++ b/packages/core/src/camphorshelf_core/sensing.py
@@ -15,8 +15,8 @@
 # IP and UDP headers: the budget covers all bytes on the network, not just the payload.
 DATAGRAM_OVERHEAD = 28
 PROBE_BYTES = 96
-# Charged for each probe sent or answered, before the work is done. A probe and its answer cost the
-# sender 32 us and an answer costs the other node 16 us, system calls included.
+# Charged for each probe sent or answered, before the work is done. It exceeds the cost: 32 us for
+# the sender of a probe, with its answer, and 16 us for the other node, system calls included.
 PROBE_MICROSECONDS = 120
 # A target with a younger report isn't probed.
 _MIN_REPORT_AGE_SECONDS = 0.05
@@ -104,11 +104,12 @@
         entry = self._pending.pop(number, None)
         return None if entry is None else (entry[0].target, entry[1])
 
-    def may_answer(self, now):
+    def charge_answer(self, now):
         """Charge the budget for the answer to another node's probe.
 
         :param now: seconds on the monotonic clock.
-        :return: False when the budget is spent; the other node then keeps its older report.
+        :return: whether the answer may be sent. If not, the budget is spent and the other node
+            keeps its older report.
         """
         if not self._charge(now):
             return False
--- a/packages/core/src/camphorshelf_core/service_times.py
+++ b/packages/core/src/camphorshelf_core/service_times.py
@@ -1,4 +1,4 @@
-"""Measures how long each kind of call takes at the target beside this node."""
+"""Measures how long each kind of call takes at this node's target."""
 
 from collections import OrderedDict
 from math import exp
@@ -16,7 +16,7 @@
 _RECHECK_SECONDS = 0.1
 
 
-class _Kind:
+class _KindStats:
     __slots__ = ("mean", "deviation", "baseline", "updated_at")
 
     def __init__(self, seconds, now):
@@ -40,7 +40,7 @@
     """Smoothed service times by kind of call; the least recently seen kinds are dropped.
 
     One mean for all kinds would be wrong as soon as long calls run beside short ones: a lookup of
-    1 ms with 20 ms left would be refused because reports take 500 ms.
+    1 ms with 20 ms left would be refused because other calls take 500 ms.
     """
 
     def __init__(self):
@@ -66,7 +66,7 @@
         self._overall_mean += _SMOOTHING * (seconds - self._overall_mean)
         known = self._kinds.get(kind)
         if known is None:
-            self._kinds[kind] = _Kind(seconds, now)
+            self._kinds[kind] = _KindStats(seconds, now)
             if len(self._kinds) > _MAX_KINDS:
                 self._kinds.popitem(last=False)
             return 1.0
--- a/packages/core/src/camphorshelf_core/shares.py
+++ b/packages/core/src/camphorshelf_core/shares.py
@@ -115,6 +115,7 @@
     def __init__(self, callers, teams):
         self._caller_usage = callers
         self._team_usage = teams
+        # The queued calls, by team and then by caller.
         self._queues = {}
         self._size = 0
 
@@ -122,8 +123,8 @@
         return self._size
 
     def __iter__(self):
-        for team in self._queues.values():
-            for queue in team.values():
+        for callers in self._queues.values():
+            for queue in callers.values():
                 yield from queue
 
     def count_waiting(self, call):
@@ -133,7 +134,7 @@
         :return: the pair of both counts.
         """
         own = self._queues.get(call.team, {}).get(call.caller, ())
-        return len(own), sum(len(team) for team in self._queues.values())
+        return len(own), sum(len(callers) for callers in self._queues.values())
 
     def push(self, call):
         """Queue a call.
@@ -154,10 +155,10 @@
         :param now: seconds on the monotonic clock.
         :return: the :class:`~camphorshelf_core.admission.PendingCall`.
         """
-        name = min(self._queues, key=lambda candidate: self._team_usage.rank(candidate, now))
-        team = self._queues[name]
-        caller = min(team, key=lambda candidate: self._caller_usage.rank(candidate, now))
-        call = team[caller][0]
+        team = min(self._queues, key=lambda candidate: self._team_usage.rank(candidate, now))
+        callers = self._queues[team]
+        caller = min(callers, key=lambda candidate: self._caller_usage.rank(candidate, now))
+        call = callers[caller][0]
         self.remove(call)
         return call
 
@@ -167,17 +168,19 @@
         :param call: the :class:`~camphorshelf_core.admission.PendingCall`.
         :return: None.
         """
-        team = self._queues[call.team]
-        queue = team[call.caller]
+        callers = self._queues[call.team]
+        queue = callers[call.caller]
         queue.remove(call)
         self._size -= 1
         if not queue:
-            del team[call.caller]
-        if not team:
+            del callers[call.caller]
+        if not callers:
             del self._queues[call.team]
 
     def choose_evicted(self, call):
-        """Choose the call to evict from a full queue: the last one of whoever has the most.
+        """Choose the call to evict from a full queue: the last call of the heaviest caller.
+
+        That is the caller with the most queued calls and slots, in the team with the most.
 
         :param call: the arriving :class:`~camphorshelf_core.admission.PendingCall`.
         :return: a queued call, or the arriving one.
--- a/packages/core/src/camphorshelf_core/slotlimit.py
+++ b/packages/core/src/camphorshelf_core/slotlimit.py
@@ -30,8 +30,8 @@
 # target does. Saturation slows down all requests, so a quantile below the median tells the two
 # apart.
 _QUANTILE = 0.4
-# Only durations of the same few seconds are compared, because another mix of requests has other
-# durations.
+# Only durations of the same few seconds are compared, because durations change with the mix of
+# requests.
 _MAX_SAMPLE_AGE_SECONDS = 5.0
 # A failed trial is repeated after a pause that is four times as long each time, because the
 # saturation point of a server seldom moves.
@@ -62,7 +62,7 @@
         return len(self._samples)
 
     @property
-    def ratio(self):
+    def quantile_ratio(self):
         ratios = sorted(ratio for _, ratio in self._samples)
         return ratios[int(len(ratios) * _QUANTILE)]
 
@@ -70,7 +70,8 @@
 class SlotLimit:
     """The concurrency limit of one target; its first value needs no measurement.
 
-    The attribute ``stable_value`` is the limit without trials. It is the one to plan with.
+    The attribute ``stable_value`` is the limit without trials; queueing delays and the capacity of
+    the queue are computed from it.
 
     :param slots: how many requests the target says it can process at once.
     """
@@ -97,7 +98,8 @@
         # The difference that a trial makes to the limit: 1, -1, or 0 without a trial.
         self._trial_step = 0
         self._pause_s = _FIRST_PAUSE_SECONDS
-        self._trial_at = None
+        # When the last trial started or failed, or when a trial was first considered.
+        self._trial_changed_at = None
 
     def consider_trial(self, now):
         """Start or end a trial of one slot more or less when it is due.
@@ -108,11 +110,11 @@
         :return: whether the limit has risen.
         """
         before = self.value
-        if self._trial_at is None:
-            self._trial_at = now
-        if self._trial_step and now - self._trial_at > _MAX_TRIAL_SECONDS:
+        if self._trial_changed_at is None:
+            self._trial_changed_at = now
+        if self._trial_step and now - self._trial_changed_at > _MAX_TRIAL_SECONDS:
             self._end_trial(now)
-        is_due = now - self._trial_at >= self._pause_s
+        is_due = now - self._trial_changed_at >= self._pause_s
         if is_due and not self._trial_step and self._check_sample_count(self.stable_value, now):
             self._begin_trial(now)
         return self.value > before
@@ -135,7 +137,7 @@
     def _begin_trial(self, now):
         self._trial_step = self._choose_step(now)
         if self._trial_step:
-            self._trial_at = now
+            self._trial_changed_at = now
             self._samples_by_concurrency[self.value].clear()
 
     def _choose_step(self, now):
@@ -154,7 +156,10 @@
         if trial.count(now) < _MIN_SAMPLES_TO_REJECT:
             return
         baseline = self._samples_by_concurrency[self.stable_value]
-        if not baseline.count(now) or trial.ratio >= _SIGNIFICANT_RATIO * baseline.ratio:
+        if (
+            not baseline.count(now)
+            or trial.quantile_ratio >= _SIGNIFICANT_RATIO * baseline.quantile_ratio
+        ):
             self._end_trial(now)
         elif self._check_sample_count(self.value, now):
             if self._find_better_limit(self.value, 1.0, now) is not None:
@@ -176,15 +181,15 @@
 
     def _end_trial(self, now):
         self._trial_step = 0
-        self._trial_at = now
+        self._trial_changed_at = now
         self._pause_s = min(_MAX_PAUSE_SECONDS, self._pause_s * _PAUSE_GROWTH)
 
     def _find_better_limit(self, concurrency, margin, now):
-        ratio = self._samples_by_concurrency[concurrency].ratio
+        ratio = self._samples_by_concurrency[concurrency].quantile_ratio
         for fewer in range(concurrency - 1, self._min_value - 1, -1):
             if not self._check_sample_count(fewer, now):
                 continue
             min_ratio = max(_SIGNIFICANT_RATIO, margin * concurrency / fewer)
-            if ratio >= min_ratio * self._samples_by_concurrency[fewer].ratio:
+            if ratio >= min_ratio * self._samples_by_concurrency[fewer].quantile_ratio:
                 return fewer
         return None
--- a/packages/core/src/camphorshelf_core/sojourn.py
+++ b/packages/core/src/camphorshelf_core/sojourn.py
@@ -5,14 +5,15 @@
 bursts does its job and may fill up.
 """
 
-# A full queue of four calls per slot, with the calls in front of it, is served in five service
+# A full queue of four calls per slot and the running calls together are served in five service
 # times. If no slot was free for longer than that, the load is not a burst but exceeds the capacity.
 _BURST_SERVICE_TIMES = 5
 _MIN_BURST_SECONDS = 0.02
-# A shop clerk notices a wait above 100 ms. A call of a slow service may still wait for two others.
+# A shop clerk notices a wait above 100 ms. In a slow service a call may still wait two service
+# times.
 _MAX_BURST_SECONDS = 0.1
-# Two service times, but at least 5 ms: enough to bridge the gap until the next slot is free, and
-# too short a wait to refuse a call for.
+# The longest wait in a standing queue is two service times, but at least 5 ms. That bridges the gap
+# until the next slot is free, and a wait as short as this is no reason to refuse a call.
 _STANDING_SERVICE_TIMES = 2
 _MIN_STANDING_SECONDS = 0.005
 
--- a/packages/core/src/camphorshelf_core/warmup.py
+++ b/packages/core/src/camphorshelf_core/warmup.py
@@ -4,7 +4,7 @@
 load that it carries when warm. If it got all its load at once, it would crash, come back cold and
 crash again, for as long as the load lasts.
 
-Only the node beside a target sends to it, so the limit needs no coordination between nodes. But
+Only the target's own node sends to it, so the limit needs no coordination between nodes. But
 this node doesn't know what its predecessor process sent in the last second before it ended.
 """
 
--- a/packages/node/src/camphorshelf_node/load.py
+++ b/packages/node/src/camphorshelf_node/load.py
@@ -185,7 +185,7 @@
             failure_share=health.failure_share(name, now),
             weight=self._weight(name, now) * health.return_share(name, now),
             leaving=self._is_leaving(member),
-            ejected=health.update(name, now),
+            ejected=health.check_ejected(name, now),
         )
 
     def _is_leaving(self, member):
--- a/packages/node/src/camphorshelf_node/quarantine.py
+++ b/packages/node/src/camphorshelf_node/quarantine.py
@@ -87,7 +87,7 @@
         name = fingerprint(exchange.service, request.method, request.path, request.body)
         now = time.time()
         self._learn_one(name, target, now)
-        nodes, _ = self._state.evidence(name)
+        nodes, _ = self._state.counted_crashes(name)
         headers = tuple(pair for pair in request.headers if pair[0] != SUSPECT_HEADER)
         headers += ((SUSPECT_HEADER, ",".join(nodes).encode()),)
         exchange.request = request._replace(headers=headers)
@@ -103,7 +103,7 @@
         now = time.time()
         blamed = self._state.record_crash(names.values(), now)
         for name in blamed:
-            crashes = self._state.evidence(name)[0][self._name]
+            crashes = self._state.counted_crashes(name)[0][self._name]
             self._publish(f"{name}:{self._name}", now, tuple(crashes))
             standing = self._state.standing(name, now)
             self._log.info(f"the target died under request {name}: {standing.name}")
@@ -152,7 +152,7 @@
         return lifted
 
     def _learn_one(self, name, node, now):
-        if node not in self._state.evidence(name)[0]:
+        if node not in self._state.counted_crashes(name)[0]:
             self._state.merge_crashes(name, node, Crashes(1, now), now)
 
     def _publish(self, key, at, value):
--- a/packages/node/src/camphorshelf_node/sensing.py
+++ b/packages/node/src/camphorshelf_node/sensing.py
@@ -34,7 +34,7 @@
             self._send(ProbeMessage(probe.number), probe.address)
 
     def _on_probe(self, message, address):
-        if self._sensing.may_answer(self._loop.now()):
+        if self._sensing.charge_answer(self._loop.now()):
             self._send(ProbeAnswerMessage(message.number, self._gatekeeper.load), address)
 
     def _on_answer(self, message, _address):
--- a/packages/relay/src/camphorshelf_relay/crashes.py
+++ b/packages/relay/src/camphorshelf_relay/crashes.py
@@ -59,9 +59,9 @@
             fingerprint for fingerprint, at in self._blamed_at.items() if now - at < _SENT_SECONDS
         ]
         return tuple(
-            (fingerprint, self._quarantine.evidence(fingerprint)[0][self._name].count)
+            (fingerprint, self._quarantine.counted_crashes(fingerprint)[0][self._name].count)
             for fingerprint in recent[-_MAX_SENT_FINGERPRINTS:]
-            if self._name in self._quarantine.evidence(fingerprint)[0]
+            if self._name in self._quarantine.counted_crashes(fingerprint)[0]
         )
 
     def fingerprint(self, message):
@@ -123,6 +123,6 @@
         """
         now = self._loop.now()
         for remote_fingerprint, count in crashes:
-            known = self._quarantine.evidence(remote_fingerprint)[0].get(host)
+            known = self._quarantine.counted_crashes(remote_fingerprint)[0].get(host)
             if known is None or known.count < count:
                 self._quarantine.merge_crashes(remote_fingerprint, host, Crashes(count, now), now)
--- a/tests/features/steps/entry_parts_steps.py
+++ b/tests/features/steps/entry_parts_steps.py
@@ -181,9 +181,9 @@
 
 @then("it is ejected for {least:g} to {most:g} seconds")
 def check_ejected(context, least, most):
-    assert context.health.update("t0", context.now + least - 0.01)
+    assert context.health.check_ejected("t0", context.now + least - 0.01)
     context.now += most + 0.01
-    assert not context.health.update("t0", context.now)
+    assert not context.health.check_ejected("t0", context.now)
 
 
 @then("after that it carries a tenth of its weight at first")
@@ -215,7 +215,7 @@
 
 @then("{count:d} of them are ejected")
 def check_count_ejected(context, count):
-    ejected = [name for name in _TARGETS if context.health.update(name, 10.5)]
+    ejected = [name for name in _TARGETS if context.health.check_ejected(name, 10.5)]
     assert len(ejected) == count, ejected
 
 
@@ -341,7 +341,7 @@
             probe = sensing.next_probe(_CANDIDATES, now)
             numbers += [probe.number] if probe else []
         elif kind == "asked":
-            sensing.may_answer(now)
+            sensing.charge_answer(now)
         elif numbers:
             sensing.match_answer(numbers.pop())
         spent = (sensing.sent + sensing.answered) * PROBE_BYTES
@@ -367,7 +367,7 @@
         try:
             sensing = ProbeScheduler(_SETTINGS, random.Random(3), 100.0)
             for _ in range(300):
-                sensing.may_answer(100.0)
+                sensing.charge_answer(100.0)
         except AssertionError as error:
             assert "probes exceeded" in str(error)
         else:
--- a/tests/standins/poison_play.py
+++ b/tests/standins/poison_play.py
@@ -26,7 +26,7 @@
         self.now += _STEP_SECONDS
         blamed = self.all[node].record_crash(requests, self.now)
         for request in blamed:
-            crashes = self.all[node].evidence(request)[0][node]
+            crashes = self.all[node].counted_crashes(request)[0][node]
             for other in self.all.values():
                 other.merge_crashes(request, node, crashes, self.now)
 
