--- a/packages/cli/src/camphorshelf_cli/logs.py
+++ b/packages/cli/src/camphorshelf_cli/logs.py
@@ -1,10 +1,11 @@
-"""What saved logs of several hosts say of one request."""
+"""Collects the lines about one request from saved logs of several hosts."""
 
 import json
 from glob import glob
 from typing import NamedTuple
 
-# The order in which the hops of a request log; clocks of hosts differ by more than a hop takes.
+# The order in which the steps of a request are logged. Lines of different hosts can't be ordered by
+# their times, since the hosts' clocks differ by more than a step takes.
 _STAGES = {
     "turned_away": 1,
     "run_failed": 1,
@@ -14,17 +15,17 @@
     "repeat": 2,
     "hedge": 2,
 }
-_AT_ENTRY, _LAST = 2, 3
-_SHOWN_APART = frozenset({"time", "host", "event", "request"})
+_ENTRY_STAGE, _LAST_STAGE = 2, 3
+_OMITTED_FIELDS = frozenset({"time", "host", "event", "request"})
 
 
 class Hop(NamedTuple):
-    """One line about a request.
+    """A log line about a request.
 
-    :param host: the host that wrote it.
-    :param event: what happened.
-    :param fields: the inputs and the outcome.
-    :param time: Unix seconds of that host's clock.
+    :param host: the host that wrote the line.
+    :param event: the name of the event.
+    :param fields: the other fields of the line.
+    :param time: Unix time in seconds by that host's clock.
     """
 
     host: str
@@ -34,51 +35,52 @@
 
 
 def find_hops(request, pattern):
-    """Collect the lines of one request, in the order in which they happened.
+    """Collect the lines of a request, in the order of the events.
 
-    Lines of the entry node keep their order. Those of a target's node stand before the entry
-    node's line that takes up their result, whatever the clocks say.
+    Lines of the entry node keep their order. Lines of a target's node are placed before the entry
+    node's line about their result, regardless of the clocks.
 
     :param request: the caller's id of the request.
-    :param pattern: a file's path, or a pattern for several.
+    :param pattern: the path of a log file, or a pattern of paths.
     :return: a list of :class:`Hop`.
     """
     hops = [hop for path in sorted(glob(pattern)) for hop in _read_hops(path, request)]
-    entry = {hop.host for hop in hops if _stage(hop) >= _AT_ENTRY}
-    own = [hop for hop in hops if _stage(hop) >= _AT_ENTRY]
-    others = [hop for hop in hops if _stage(hop) < _AT_ENTRY]
+    entry_hosts = {hop.host for hop in hops if _stage(hop) >= _ENTRY_STAGE}
+    entry_hops = [hop for hop in hops if _stage(hop) >= _ENTRY_STAGE]
+    target_hops = [hop for hop in hops if _stage(hop) < _ENTRY_STAGE]
     ordered = []
-    for hop in sorted(own, key=lambda one: (_stage(one) == _LAST, one.time)):
-        results = [one for one in others if _belongs(one, hop, entry)]
+    for hop in sorted(entry_hops, key=lambda one: (_stage(one) == _LAST_STAGE, one.time)):
+        results = [one for one in target_hops if _precedes(one, hop, entry_hosts)]
         for result in results:
-            others.remove(result)
+            target_hops.remove(result)
         ordered += [*results, hop]
-    return [*ordered, *others]
+    return [*ordered, *target_hops]
 
 
 def render_hops(hops):
-    """Lay hops out for people.
+    """Render hops as text.
 
     :param hops: a list of :class:`Hop`.
     :return: the lines as one text.
     """
     lines = []
     for number, hop in enumerate(hops, 1):
-        words = " ".join(f"{name}={value}" for name, value in hop.fields.items())
-        lines.append(f"{number:2}  {hop.host:20} {hop.event:12} {words}")
+        text = " ".join(f"{name}={value}" for name, value in hop.fields.items())
+        lines.append(f"{number:2}  {hop.host:20} {hop.event:12} {text}")
     return "\n".join(lines)
 
 
-def _belongs(result, hop, entry):
-    # A decline answers the earliest result left; the last line takes all that are left.
-    if _stage(hop) == _LAST:
+def _precedes(result, hop, entry_hosts):
+    # An entry node's line is preceded by results with the same code; its last line by all that are
+    # left.
+    if _stage(hop) == _LAST_STAGE:
         return True
     code = hop.fields.get("code")
     return code is not None and result.fields.get("code") == code and result.event != "run_ended"
 
 
 def _stage(hop):
-    return _STAGES.get(hop.event, _LAST)
+    return _STAGES.get(hop.event, _LAST_STAGE)
 
 
 def _read_hops(path, request):
@@ -88,12 +90,12 @@
                 continue
             fields = _read_line(line)
             if fields is not None and fields.get("request") == request:
-                rest = {key: value for key, value in fields.items() if key not in _SHOWN_APART}
-                yield Hop(fields["host"], fields["event"], rest, fields["time"])
+                shown = {key: value for key, value in fields.items() if key not in _OMITTED_FIELDS}
+                yield Hop(fields["host"], fields["event"], shown, fields["time"])
 
 
 def _read_line(line):
-    # Collectors put a prefix before the line.
+    # Log collectors may put a prefix before the JSON document.
     try:
         return json.loads(line[line.index("{") :])
     except ValueError:
--- a/packages/node/src/camphorshelf_node/dispatch.py
+++ b/packages/node/src/camphorshelf_node/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends a call to the chosen target's node and its answer back to the caller."""
+"""Chooses targets for calls and holds what all calls of an entry node share."""
 
 from collections import Counter
 
@@ -9,17 +9,18 @@
 from camphorshelf_core.retry import ShareBudget, add_jitter
 from camphorshelf_core.settings import split_address
 
-from .calling import Calling
+from .callexecution import CallExecution
 from .links import PeerLink
 
 _NO_TARGET_RETRY_MS = 1_000
 
 
 class Dispatcher:
-    """Routes exchanges that passed the filters.
+    """Dispatches exchanges that passed the filters.
 
-    An exchange is anything with ``request``, ``service``, ``deadline``, ``answer``, ``refuse``
-    and ``when_hung_up``; its ``answer`` or ``refuse`` is called once, with the final outcome.
+    An exchange is any object with ``request``, ``service``, ``deadline``, ``answer``, ``refuse``
+    and ``set_disconnect_handler``, such as an :class:`~camphorshelf_node.exchange.Exchange`.
+    Either ``answer`` or ``refuse`` is called, once, with the final outcome.
     """
 
     def __init__(
@@ -27,9 +28,9 @@
         loop,
         settings,
         incarnation,
-        keeper,
-        gatekeeper,
-        sensing,
+        load_tracker,
+        admission_controller,
+        probes,
         quarantine,
         log,
         random,
@@ -39,14 +40,14 @@
         self._choose = make_chosen_policy(settings.entry, settings.failure_domain, random)
         self._random = random
         self.configuration = configuration
-        self._numbers = 0
+        self._attempt_count = 0
         self._links = {}
         self._quantiles = {}
         self.loop = loop
         self.settings = settings
-        self.keeper = keeper
-        self.gatekeeper = gatekeeper
-        self.sensing = sensing
+        self.load_tracker = load_tracker
+        self.admission_controller = admission_controller
+        self.probes = probes
         self.quarantine = quarantine
         self.log = log
         self.counts = Counter()
@@ -57,48 +58,48 @@
 
     @property
     def is_baseline(self):
-        """Whether one of the simple policies is in force, which neither spill nor hedge."""
+        """Whether a baseline policy is configured; baselines neither spill nor hedge nor probe."""
         return self.settings.entry.policy != "ours"
 
     def dispatch(self, exchange):
-        """Choose a target and send it the call.
+        """Count a call and start to execute it.
 
-        :param exchange: the caller's exchange.
+        :param exchange: the call's exchange.
         :return: None.
         """
         self.counts["calls"] += 1
         for budget in (self.retry_budget, self.hedge_budget, self.spill_budget):
             budget.record_call()
-        Calling(self, exchange).start()
+        CallExecution(self, exchange).start()
 
     def choose(self, service, exclude=()):
-        """Choose a target and, where the budget allows, probe another.
+        """Choose a target and let the probe scheduler probe one of the candidates.
 
         :param service: the service's name.
         :param exclude: names of targets not to choose.
-        :return: a :class:`~camphorshelf_core.routing.Choice`, or None.
+        :return: a :class:`~camphorshelf_core.routing.Choice`, or None if no target can be chosen.
         """
-        candidates = self.keeper.candidates(service)
+        candidates = self.load_tracker.candidates(service)
         choice = self._choose(candidates, exclude)
         if choice is None:
-            # None of those drawn takes work; before the call is refused, all are asked.
-            choice = self._choose(self.keeper.survey(service), exclude)
+            # None of the sampled targets takes calls; consider all before refusing the call.
+            choice = self._choose(self.load_tracker.all_candidates(service), exclude)
         if not self.is_baseline:
-            self.sensing.probe_one(candidates)
+            self.probes.probe_one(candidates)
         return choice
 
-    def refuse_for_want_of_target(self):
-        """Make the refusal of a call that no target takes.
+    def no_target_refusal(self):
+        """Build the refusal of a call for which there is no target.
 
         :return: the :class:`Refusal`.
         """
         after = add_jitter(_NO_TARGET_RETRY_MS, self._random)
-        return Refusal(Code.NO_TARGET, "no target of the service takes work", retry_after_ms=after)
+        return Refusal(Code.NO_TARGET, "no target of the service takes calls", retry_after_ms=after)
 
-    def quantile(self, service):
-        """Find the latency quantile of a service.
+    def latency_quantile(self, service):
+        """Return the latency quantile of a service.
 
-        :param service: its name.
+        :param service: the service's name.
         :return: the :class:`LatencyQuantile`.
         """
         quantile = self._quantiles.get(service)
@@ -107,18 +108,18 @@
             self._quantiles[service] = quantile
         return quantile
 
-    def next_attempt(self):
-        """Name a new attempt.
+    def next_attempt_id(self):
+        """Return a new attempt id.
 
-        :return: an :class:`AttemptId` that this node never gives again.
+        :return: an :class:`AttemptId` that this node never uses again.
         """
-        self._numbers += 1
-        return AttemptId(self._incarnation, self._numbers)
+        self._attempt_count += 1
+        return AttemptId(self._incarnation, self._attempt_count)
 
     def link(self, address):
-        """Find or open the link to a peer.
+        """Return the open link to a peer, or open a new one.
 
-        :param address: ``IP:PORT``.
+        :param address: the peer's address, as ``IP:PORT``.
         :return: the :class:`PeerLink`.
         """
         link = self._links.get(address)
--- a/packages/node/src/camphorshelf_node/links.py
+++ b/packages/node/src/camphorshelf_node/links.py
@@ -1,4 +1,4 @@
-"""Links between nodes: WebSocket frames that carry CBOR messages."""
+"""Links between nodes: WebSocket connections that carry CBOR messages."""
 
 import itertools
 from collections import deque
@@ -25,20 +25,21 @@
 
 from .streams import dial
 
-_MAX_MESSAGE = 32 * 1024 * 1024
-_MAX_BODY = _MAX_MESSAGE - 1024 * 1024
-# A large body in one frame would hold up every other message of its link: 64 MB take 100 s on the
-# slowest links (5 Mbit/s), a piece 0.1 s. Pieces wait until what was sent before has gone out.
-_PIECE_BYTES = 64 * 1024
-_WINDOW_BYTES = 64 * 1024
-_MAX_ASSEMBLED = 96 * 1024 * 1024
-# Packets lost in a row can hold up a connection for a second or two; the kernel gives up later.
-KERNEL_SILENCE_SECONDS = 4.0
-_MAX_UNSENT = 128 * 1024 * 1024
+_MAX_MESSAGE_BYTES = 32 * 1024 * 1024
+_MAX_BODY_BYTES = _MAX_MESSAGE_BYTES - 1024 * 1024
+# A large body in one frame would delay every other message of its link: 64 MB take 100 s on the
+# slowest links (5 Mbit/s), a fragment 0.1 s. Fragments wait until the data before them is sent.
+_FRAGMENT_BYTES = 64 * 1024
+_SEND_WINDOW_BYTES = 64 * 1024
+_MAX_REASSEMBLED_BYTES = 96 * 1024 * 1024
+# Several lost packets in a row can delay a connection for one or two seconds, so the kernel must
+# not close it earlier than that.
+TCP_TIMEOUT_SECONDS = 4.0
+_MAX_UNSENT_BYTES = 128 * 1024 * 1024
 
 
 class Channel:
-    """Moves messages over one WebSocket connection, whichever side opened it."""
+    """Sends and receives messages over one WebSocket connection, as client or server."""
 
     def __init__(self, stream, protocol, on_message, on_close):
         self._stream = stream
@@ -46,23 +47,23 @@
         self._on_message = on_message
         self._on_close = on_close
         self._unsent = []
-        self._large = deque()
-        self._numbers = itertools.count(1)
+        self._fragmented = deque()
+        self._message_numbers = itertools.count(1)
         self._incoming = {}
-        self.heard = 0
-        # Whether the handshake was ever over: until then no message has been sent.
-        self.opened = False
+        self.reads = 0
+        # Whether the handshake has ever completed: no message is sent before that.
+        self.handshake_done = False
         stream.on_data = self._on_data
         stream.on_close = on_close
-        stream.on_drain = self._pump
+        stream.on_drain = self._send_fragments
 
     @property
     def closed(self):
-        """Whether the connection is gone."""
+        """Whether the connection is closed."""
         return self._stream.closed
 
     def ping(self):
-        """Ask the peer for a sign of life on this connection.
+        """Send a WebSocket ping, which the peer answers with a pong.
 
         :return: None.
         """
@@ -71,7 +72,7 @@
             self._flush()
 
     def start(self):
-        """Send the opening handshake as the side that dials.
+        """Send the opening handshake as the client.
 
         :return: None.
         """
@@ -79,33 +80,33 @@
         self._flush()
 
     def send(self, message):
-        """Send a message, or keep it until the handshake is over.
+        """Send a message, or queue it until the handshake is complete.
 
-        :param message: a message of the core package.
+        :param message: a message of the core package's ``messages`` module.
         :return: None.
         """
         if self._protocol.state is not OPEN:
             self._unsent.append(message)
             return
         data = encode(message)
-        if len(data) <= _PIECE_BYTES:
+        if len(data) <= _FRAGMENT_BYTES:
             self._protocol.send_binary(data)
             self._flush()
         else:
             call_id = getattr(message, "call_id", None)
-            self._large.append(_Large(next(self._numbers), call_id, data))
-            self._pump()
+            self._fragmented.append(_FragmentedMessage(next(self._message_numbers), call_id, data))
+            self._send_fragments()
 
-    def drop(self, call_id):
-        """Send no more of a message that goes out in pieces.
+    def abort(self, call_id):
+        """Stop sending a fragmented message.
 
-        :param call_id: its call.
-        :return: whether some of it had not been sent, so that the peer never gets it whole.
+        :param call_id: the call id of the message.
+        :return: whether fragments were left to send, so that the peer never gets the message.
         """
-        for large in self._large:
-            if large.call_id == call_id:
-                self._large.remove(large)
-                self.send(FragmentsAbortedMessage(large.number))
+        for fragmented in self._fragmented:
+            if fragmented.call_id == call_id:
+                self._fragmented.remove(fragmented)
+                self.send(FragmentsAbortedMessage(fragmented.number))
                 return True
         return False
 
@@ -117,7 +118,7 @@
         self._stream.close()
 
     def _on_data(self, data):
-        self.heard += 1
+        self.reads += 1
         self._protocol.receive_data(data)
         for event in self._protocol.events_received():
             self._on_event(event)
@@ -132,21 +133,21 @@
             return
         if isinstance(event, Request):
             self._protocol.send_response(self._protocol.accept(event))
-        self.opened = True
+        self.handshake_done = True
         unsent, self._unsent = self._unsent, []
         for message in unsent:
             self.send(message)
 
     def _on_frame(self, frame):
         try:
-            message = self._assemble(decode(bytes(frame.data)))
+            message = self._reassemble(decode(bytes(frame.data)))
         except ProtocolError:
             self._stream.close()
             return
         if message is not None:
             self._on_message(message)
 
-    def _assemble(self, message):
+    def _reassemble(self, message):
         if isinstance(message, FragmentsAbortedMessage):
             self._incoming.pop(message.number, None)
             return None
@@ -154,95 +155,103 @@
             return message
         parts = self._incoming.setdefault(message.number, bytearray())
         parts += message.data
-        if len(parts) > _MAX_ASSEMBLED:
-            raise ProtocolError("a message in pieces is larger than allowed")
+        if len(parts) > _MAX_REASSEMBLED_BYTES:
+            raise ProtocolError("a fragmented message is larger than allowed")
         if not message.is_last:
             return None
         return decode(bytes(self._incoming.pop(message.number)))
 
-    def _pump(self):
-        # One piece of each large message in turn, and only while little waits to go out: what is
-        # sent meanwhile stands behind one piece, not behind the rest of a body.
-        while self._large and self._stream.unsent < _WINDOW_BYTES and not self._stream.closed:
-            large = self._large.popleft()
-            piece, is_last = large.take()
-            self._protocol.send_binary(encode(FragmentMessage(large.number, is_last, piece)))
+    def _send_fragments(self):
+        # Sends one fragment of each message in turn, and only while the write buffer is small:
+        # other messages then wait for one fragment, not for the rest of a body.
+        while (
+            self._fragmented
+            and self._stream.unsent < _SEND_WINDOW_BYTES
+            and not self._stream.closed
+        ):
+            fragmented = self._fragmented.popleft()
+            fragment, is_last = fragmented.next_fragment()
+            self._protocol.send_binary(
+                encode(FragmentMessage(fragmented.number, is_last, fragment))
+            )
             if not is_last:
-                self._large.append(large)
+                self._fragmented.append(fragmented)
             self._flush()
 
     def _flush(self):
         for data in self._protocol.data_to_send():
             if data:
                 self._stream.write(data)
-        # A peer that takes nothing any more would fill this node's memory with its answers.
-        if self._stream.unsent > _MAX_UNSENT:
+        # A peer that no longer reads would make its answers fill this node's memory.
+        if self._stream.unsent > _MAX_UNSENT_BYTES:
             self._stream.close()
 
 
-class _Large:
-    """A message on its way in pieces."""
+class _FragmentedMessage:
+    """A message that is being sent in fragments."""
 
     def __init__(self, number, call_id, data):
         self.number = number
         self.call_id = call_id
         self._data = memoryview(data)
 
-    def take(self):
-        """Take the next piece, and whether it is the last."""
-        piece, self._data = self._data[:_PIECE_BYTES], self._data[_PIECE_BYTES:]
-        return bytes(piece), not self._data
+    def next_fragment(self):
+        """Return the next fragment, and whether it is the last."""
+        fragment, self._data = self._data[:_FRAGMENT_BYTES], self._data[_FRAGMENT_BYTES:]
+        return bytes(fragment), not self._data
 
 
 class PeerLink:
-    """The calling side of a link: pairs each answer with its call by an id never reused.
+    """The client side of a link: matches answers with calls by an id that is never reused.
 
-    :param silence_s: after so long without any sign of life a link takes no new calls; None where
-        that is not watched.
-    :param is_heard: tells whether the host is heard otherwise; None for never.
-    :param ask: asks the host for a word on another way; None where there is none.
+    :param silence_s: seconds without received data after which the link accepts no new calls;
+        None to disable this check.
+    :param is_host_alive: returns whether the host has been heard from by other means; None if it
+        never is.
+    :param probe_host: probes the host by other means; None if there are none.
     """
 
-    def __init__(self, loop, address, silence_s=None, is_heard=None, ask=None):
+    def __init__(self, loop, address, silence_s=None, is_host_alive=None, probe_host=None):
         host, port = address
         self._loop = loop
         self._silence_s = silence_s
-        self._is_heard = is_heard
-        self._ask = ask
-        self._watched = None
+        self._is_host_alive = is_host_alive
+        self._probe_host = probe_host
+        self._watched_reads = None
         self._ids = itertools.count(1)
         self._pending = {}
         self.unknown_answers = 0
-        self.told_version = None
+        self.announced_version = None
         uri = parse_uri(f"ws://{host}:{port}/")
-        protocol = ClientProtocol(uri, max_size=_MAX_MESSAGE)
-        stream = dial(loop, address, None if silence_s is None else KERNEL_SILENCE_SECONDS)
+        protocol = ClientProtocol(uri, max_size=_MAX_MESSAGE_BYTES)
+        stream = dial(loop, address, None if silence_s is None else TCP_TIMEOUT_SECONDS)
         self._retired = False
         self._channel = Channel(stream, protocol, self._on_message, self._on_close)
         stream.on_connect = self._on_connect
 
     @property
     def closed(self):
-        """Whether the link takes no more calls."""
+        """Whether the link accepts no more calls."""
         return self._retired or self._channel.closed
 
     def call(self, message, on_done):
         """Send a call.
 
-        :param message: a :class:`CallMessage`; its ``call_id`` is filled in here.
-        :param on_done: takes an answer or refused message, or a :class:`Refusal` when the
-            link is lost.
+        :param message: the message, such as a :class:`~camphorshelf_core.messages.CallMessage`;
+            its ``call_id`` is set here.
+        :param on_done: called with the peer's answer, a message, or with a
+            :class:`~camphorshelf_core.errors.Refusal` when the link is lost.
         :return: a function that cancels the call.
         """
         call_id = next(self._ids)
         self._pending[call_id] = on_done
         self._channel.send(message._replace(call_id=call_id))
-        if self._silence_s is not None and self._watched is None:
-            self._watch_silence()
+        if self._silence_s is not None and self._watched_reads is None:
+            self._watch_activity()
 
         def cancel():
             if self._pending.pop(call_id, None) is not None and not self._channel.closed:
-                if not self._channel.drop(call_id):
+                if not self._channel.abort(call_id):
                     self._channel.send(CancelMessage(call_id))
                 self._close_if_retired()
 
@@ -255,38 +264,42 @@
         """
         self._channel.close()
 
-    def _watch_silence(self):
-        # A connection can go silent for good while new ones work. Without this each call on it
-        # would wait for its own deadline, and new calls would follow them: when nothing comes, not
-        # even the answer to a ping, new calls get a new connection. What is under way stays while
-        # the host is heard otherwise, for lost packets hold up a connection as long; when the host
-        # is not heard either, its calls are given up in time to go elsewhere.
-        self._watched = self._channel.heard
-        self._loop.call_later(self._silence_s / 2, self._ask_for_life)
+    def _watch_activity(self):
+        # A connection can hang for good while new ones work. Without this check each call on it
+        # would wait until its deadline, and new calls would be sent on it too. When no data
+        # arrives, not even the pong to a ping, new calls get a new connection. Calls in flight stay
+        # while the host is heard from by other means, as lost packets can delay a connection as
+        # long. If it isn't, they fail early enough to be sent elsewhere.
+        self._watched_reads = self._channel.reads
+        self._loop.call_later(self._silence_s / 2, self._check_activity)
 
-    def _ask_for_life(self):
+    def _check_activity(self):
         if self._channel.closed or not self._pending:
-            self._watched = None
-        elif self._channel.heard != self._watched:
-            self._watch_silence()
+            self._watched_reads = None
+        elif self._channel.reads != self._watched_reads:
+            self._watch_activity()
         else:
             self._channel.ping()
-            if self._ask is not None:
-                self._ask()
-            self._loop.call_later(self._silence_s / 2, self._judge_silence)
+            if self._probe_host is not None:
+                self._probe_host()
+            self._loop.call_later(self._silence_s / 2, self._handle_inactivity)
 
-    def _judge_silence(self):
+    def _handle_inactivity(self):
         if self._channel.closed:
-            self._watched = None
-        elif self._channel.heard != self._watched:
-            self._watched = None
+            self._watched_reads = None
+        elif self._channel.reads != self._watched_reads:
+            self._watched_reads = None
             if self._pending:
-                self._watch_silence()
-        elif self._channel.opened and self._is_heard is not None and self._is_heard():
+                self._watch_activity()
+        elif (
+            self._channel.handshake_done
+            and self._is_host_alive is not None
+            and self._is_host_alive()
+        ):
             self._retired = True
-            self._watch_silence()
+            self._watch_activity()
         else:
-            self._watched = None
+            self._watched_reads = None
             self._channel.close()
 
     def _on_connect(self):
@@ -297,8 +310,9 @@
             self._retired = True
             self._close_if_retired()
             return
-        # An answer that nobody waits for (cancelled, late or a peer's fault) must not reach
-        # another call: ids are never reused, so an unknown one can only be dropped.
+        # An answer that no call waits for (to a cancelled call, late, or an error of the peer)
+        # must not reach another call. Ids are never reused, so an answer to an unknown id is
+        # dropped.
         on_done = self._pending.pop(getattr(message, "call_id", None), None)
         if on_done is None:
             self.unknown_answers += 1
@@ -307,14 +321,14 @@
         self._close_if_retired()
 
     def _close_if_retired(self):
-        # The close tells the stopping peer that no call is on its way: it comes behind all
-        # that was sent before the goodbye was read.
+        # The close tells the stopping peer that no more calls will arrive: it comes after
+        # everything that was sent before the GoAwayMessage was read.
         if self._retired and not self._pending:
             self._channel.close()
 
     def _on_close(self):
         pending, self._pending = self._pending, {}
-        if self._channel.opened:
+        if self._channel.handshake_done:
             refusal = Refusal(Code.PEER_LOST, "the peer link was lost", Ran.OUTCOME_UNKNOWN)
         else:
             refusal = Refusal(Code.PEER_LOST, "the peer cannot be reached", Ran.NOT_RUN)
@@ -322,11 +336,11 @@
 
 
 class PeerServer:
-    """The serving side of a link: hands each message to the handler of its type.
+    """The server side of a link: passes each message to the handler of its type.
 
     A handler takes the message and a function that replies to it, and may return a function
-    that cancels the work. Messages without a handler are counted and dropped, so that an older
-    node outlives a newer peer.
+    that cancels the message's processing. Messages without a handler are counted and dropped, so
+    that an older node can work with a newer peer.
     """
 
     def __init__(self, stream, handlers, on_close=None):
@@ -334,17 +348,17 @@
         self._when_closed = on_close
         self._cancels = {}
         self.unknown_messages = 0
-        protocol = ServerProtocol(max_size=_MAX_MESSAGE)
+        protocol = ServerProtocol(max_size=_MAX_MESSAGE_BYTES)
         self._channel = Channel(stream, protocol, self._on_message, self._on_close)
         stream.open()
 
     @property
     def busy(self):
-        """Whether something that the peer asked for is not yet answered."""
+        """Whether a message of the peer is not answered yet."""
         return bool(self._cancels)
 
-    def say_goodbye(self):
-        """Ask the peer to send no more calls and to close when it has all its answers.
+    def send_go_away(self):
+        """Ask the peer to send no more calls, and to close the link once all are answered.
 
         :return: None.
         """
@@ -389,12 +403,13 @@
         _run_all(cancels.values())
 
 
-def make_call_handler(gatekeeper, on_fault=None):
-    """Make the handler that runs calls at the target beside the node.
+def make_call_handler(admission_controller, on_fault=None):
+    """Make the handler that runs calls at the local target.
 
-    :param gatekeeper: the node's :class:`~camphorshelf_node.gatekeeper.Gatekeeper`.
-    :param on_fault: takes the exception when a call ends in one.
-    :return: the handler of :class:`CallMessage`.
+    :param admission_controller: the node's
+        :class:`~camphorshelf_node.admissioncontroller.AdmissionController`.
+    :param on_fault: called with the exception when a call raises one.
+    :return: the handler of :class:`~camphorshelf_core.messages.CallMessage`.
     """
 
     def handle(message, reply):
@@ -402,13 +417,13 @@
             reply(_make_answer(result, load))
 
         try:
-            return gatekeeper.run(message, done)
+            return admission_controller.run(message, done)
         except Exception as error:
-            # The peer's caller would wait until its deadline for an answer that never comes.
+            # Without an answer, the peer's caller would wait until its deadline.
             if on_fault is not None:
                 on_fault(error)
-            reason = f"a fault inside the target's node: {type(error).__name__}"
-            done(Refusal(Code.INTERNAL, reason, Ran.OUTCOME_UNKNOWN), gatekeeper.load)
+            reason = f"internal error in the target's node: {type(error).__name__}"
+            done(Refusal(Code.INTERNAL, reason, Ran.OUTCOME_UNKNOWN), admission_controller.load)
             return None
 
     return handle
@@ -419,24 +434,24 @@
         code, reason, ran, retry_after_ms = result
         return RefusedMessage(0, int(code), reason, ran.value, retry_after_ms, load)
     status, headers, body = result
-    if len(body) > _MAX_BODY:
-        # Sent all the same, it would break the link and every other call on it.
-        reason = "the answer is larger than a link carries"
+    if len(body) > _MAX_BODY_BYTES:
+        # Sent nevertheless, it would break the link and fail every other call on it.
+        reason = "the response is larger than a link can carry"
         return RefusedMessage(0, int(Code.ANSWER_TOO_LARGE), reason, Ran.RAN.value, None, load)
     return AnswerMessage(0, status, headers, body, load)
 
 
 def _run_all(callbacks):
-    """Run every callback, whatever becomes of the others; the last fault is raised."""
-    fault = None
+    """Run every callback even if others fail; raise the last exception."""
+    last_error = None
     for callback in callbacks:
         try:
             callback()
         except Exception as error:
-            fault = error
-    if fault is not None:
-        raise fault
+            last_error = error
+    if last_error is not None:
+        raise last_error
 
 
 def _do_nothing():
-    """Stands for the cancellation of work that is still being started."""
+    """Cancels a message whose handler has not returned yet: there is nothing to do."""
--- a/packages/node/src/camphorshelf_node/log.py
+++ b/packages/node/src/camphorshelf_node/log.py
@@ -1,7 +1,7 @@
 """The node's log: one line for each routing and placement decision, written in batches.
 
-A line through logbook costs some 30 us, a tenth of a call. So a decision is only noted when it is
-made, and a few times a second all that were noted go through logbook as one record.
+A logbook record takes about 30 us, a tenth of the time for a call. So the lines of decisions are
+buffered, and several times a second all buffered lines are written as one record.
 """
 
 import time
@@ -11,46 +11,46 @@
 
 FORMAT = "{record.message}"
 _FLUSH_SECONDS = 0.25
-_MAX_NOTED = 5_000
+_MAX_BUFFERED_LINES = 5_000
 
 
 class Log:
-    """Writes structured lines of ``key=value`` through logbook."""
+    """Writes structured log lines of ``key=value`` pairs."""
 
-    def __init__(self, name, loop=None, level="INFO", note_decision=None):
+    def __init__(self, name, loop=None, level="INFO", record_decision=None):
         self._logger = logbook.Logger(name, level=logbook.lookup_level(level))
         self._name = name
         self._loop = loop
-        self._note_decision = note_decision
-        self._noted = []
-        self._decides = self._logger.level <= logbook.INFO
+        self._record_decision = record_decision
+        self._buffered = []
+        self._is_info_enabled = self._logger.level <= logbook.INFO
 
     def decision(self, kind, **fields):
-        """Note the line of a routing or placement decision.
+        """Buffer the line of a routing or placement decision.
 
-        :param kind: what was decided.
-        :param fields: the reasons.
+        :param kind: the kind of decision, which becomes the line's event.
+        :param fields: the decision's inputs and result.
         :return: None.
         """
-        if self._note_decision is not None:
-            self._note_decision(kind, fields)
-        if self._decides:
-            self._note("info", kind, fields)
+        if self._record_decision is not None:
+            self._record_decision(kind, fields)
+        if self._is_info_enabled:
+            self._append("info", kind, fields)
 
     def info(self, text):
         """Write a line about the node itself.
 
-        :param text: one sentence.
+        :param text: the message, one sentence.
         :return: None.
         """
-        if self._decides:
-            self._note("info", "node", {"text": repr(text)})
+        if self._is_info_enabled:
+            self._append("info", "node", {"text": repr(text)})
             self.flush()
 
     def fault(self, error):
-        """Write what a fault in the node's own code left, for its developers.
+        """Write the traceback of a fault in the node's own code.
 
-        :param error: an exception or the text of its traceback.
+        :param error: the exception, or its formatted traceback.
         :return: None.
         """
         if isinstance(error, BaseException):
@@ -60,25 +60,25 @@
         self._logger.error(f"{line}\n{error.rstrip()}")
 
     def flush(self):
-        """Write what was noted.
+        """Write the buffered lines.
 
         :return: None.
         """
-        noted, self._noted = self._noted, []
-        if noted:
-            lines = [_format(when, level, self._name, *rest) for when, level, *rest in noted]
+        buffered, self._buffered = self._buffered, []
+        if buffered:
+            lines = [_format(at, level, self._name, *rest) for at, level, *rest in buffered]
             self._logger.info("\n".join(lines))
 
-    def _note(self, level, kind, fields):
-        noted = self._noted
-        noted.append((time.time(), level, kind, fields))
-        if self._loop is None or len(noted) >= _MAX_NOTED:
+    def _append(self, level, kind, fields):
+        buffered = self._buffered
+        buffered.append((time.time(), level, kind, fields))
+        if self._loop is None or len(buffered) >= _MAX_BUFFERED_LINES:
             self.flush()
-        elif len(noted) == 1:
+        elif len(buffered) == 1:
             self._loop.call_later(_FLUSH_SECONDS, self.flush)
 
 
-def _format(when, level, name, kind, fields):
-    moment = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(when))
-    start = f"time={moment}.{int(when % 1 * 1000):03d}Z level={level} node={name} event={kind}"
-    return " ".join([start, *[f"{key}={value}" for key, value in fields.items()]])
+def _format(at, level, name, kind, fields):
+    timestamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(at))
+    prefix = f"time={timestamp}.{int(at % 1 * 1000):03d}Z level={level} node={name} event={kind}"
+    return " ".join([prefix, *[f"{key}={value}" for key, value in fields.items()]])
--- a/packages/node/src/camphorshelf_node/metrics.py
+++ b/packages/node/src/camphorshelf_node/metrics.py
@@ -1,8 +1,8 @@
-"""The node's metrics: counted in plain numbers, read by OpenTelemetry when they are asked for.
+"""The node's metrics, counted here and read by OpenTelemetry's observable instruments.
 
-A record with an OpenTelemetry instrument costs 18 us on the machine of the bench, against 2.5 us
-for a histogram's record and 0.1 us for a plain count. So calls are counted here, and observable
-instruments read the counts at each pull; there is no exporter thread.
+On the benchmark machine, recording a value with an OpenTelemetry instrument takes 18 us, recording
+it in a histogram 2.5 us, and incrementing a counter 0.1 us. So calls are counted here, and
+observable instruments read the counts for each scrape; there is no exporter thread.
 """
 
 from collections import Counter
@@ -16,13 +16,13 @@
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 _WINDOW_SECONDS = 30.0
 _QUANTILES = (0.5, 0.9, 0.99)
-_MICROSECONDS = 1_000_000
-_LONGEST_MICROSECONDS = 3_600 * _MICROSECONDS
-_DIGITS = 2
+_MICROSECONDS_PER_SECOND = 1_000_000
+_MAX_DURATION_MICROSECONDS = 3_600 * _MICROSECONDS_PER_SECOND
+_SIGNIFICANT_DIGITS = 2
 
 
 class Metrics:
-    """Counts what the node does and tells it in Prometheus' text form."""
+    """Counts calls and renders all metrics in Prometheus' text format."""
 
     def __init__(self, loop):
         self._loop = loop
@@ -47,40 +47,40 @@
         )
         loop.call_every(_WINDOW_SECONDS, self._rotate)
 
-    def note_answer(self, exchange, code):
-        """Count a call that was answered.
+    def record_answer(self, exchange, code):
+        """Record the result and the duration of an answered call.
 
         :param exchange: the :class:`~camphorshelf_node.exchange.Exchange`.
-        :param code: its result code as a number.
+        :param code: the result code, as a number or a :class:`~camphorshelf_core.errors.Code`.
         :return: None.
         """
         self._calls[exchange.service, int(code)] += 1
-        spent = int((self._loop.now() - exchange.received) * _MICROSECONDS)
-        self._durations.record_value(max(1, spent))
+        duration = int((self._loop.now() - exchange.received) * _MICROSECONDS_PER_SECOND)
+        self._durations.record_value(max(1, duration))
 
-    def watch(self, name, description, read):
-        """Tell a number that changes both ways.
+    def add_gauge(self, name, description, read_value):
+        """Add a gauge.
 
-        :param name: its name behind ``camphorshelf.``.
-        :param description: what it tells, in a sentence.
-        :param read: a function that gives the number of this moment.
+        :param name: the metric's name without the prefix ``camphorshelf.``.
+        :param description: a sentence that describes the metric.
+        :param read_value: a function that returns the current value.
         :return: None.
         """
         self._meter.create_observable_gauge(
             f"camphorshelf.{name}",
-            [lambda _options: [Observation(read())]],
+            [lambda _options: [Observation(read_value())]],
             description=description,
         )
 
     def render(self):
-        """Read everything.
+        """Render all metrics.
 
-        :return: Prometheus' text form.
+        :return: Prometheus' text format.
         """
         return generate_latest(REGISTRY).decode()
 
     def close(self):
-        """Forget the instruments, so that another one can be made in the process.
+        """Remove the instruments, so that the process can create another instance.
 
         :return: None.
         """
@@ -91,12 +91,12 @@
             yield Observation(count, {"service": service or "", "code": str(code)})
 
     def _observe_durations(self, _options):
-        both = _make_histogram()
-        both.add(self._last_durations)
+        merged = _make_histogram()
+        merged.add(self._last_durations)
         if self._durations is not self._last_durations:
-            both.add(self._durations)
+            merged.add(self._durations)
         for quantile in _QUANTILES:
-            milliseconds = both.get_value_at_percentile(quantile * 100) / 1000
+            milliseconds = merged.get_value_at_percentile(quantile * 100) / 1000
             yield Observation(milliseconds, {"quantile": str(quantile)})
 
     def _rotate(self):
@@ -104,4 +104,4 @@
 
 
 def _make_histogram():
-    return HdrHistogram(1, _LONGEST_MICROSECONDS, _DIGITS)
+    return HdrHistogram(1, _MAX_DURATION_MICROSECONDS, _SIGNIFICANT_DIGITS)
--- a/packages/node/src/camphorshelf_node/sensing.py
+++ b/packages/node/src/camphorshelf_node/sensing.py
@@ -1,51 +1,53 @@
-"""The controller that probes the load of targets and answers peers' probes, by datagram."""
+"""Probes the load of targets and answers peers' probes, by datagram."""
 
 from camphorshelf_core.messages import ProbeAnswerMessage, ProbeMessage, encode
 from camphorshelf_core.sensing import DATAGRAM_OVERHEAD, PROBE_BYTES, ProbeScheduler
 
 
 class ProbeController:
-    """Moves probes through the node's datagram socket within the core package's budget."""
+    """Sends and answers probes on the gossip socket, within the budget of a probe scheduler."""
 
-    def __init__(self, loop, settings, gossip, keeper, gatekeeper, random):
+    def __init__(self, loop, settings, gossip, load_tracker, admission_controller, random):
         self._loop = loop
         self._gossip = gossip
-        self._keeper = keeper
-        self._gatekeeper = gatekeeper
+        self._load_tracker = load_tracker
+        self._admission_controller = admission_controller
         self._own_address = settings.listen.peers
-        self._sensing = ProbeScheduler(settings.sensing, random, loop.now())
+        self._scheduler = ProbeScheduler(settings.sensing, random, loop.now())
         gossip.on_message(ProbeMessage, self._on_probe)
         gossip.on_message(ProbeAnswerMessage, self._on_answer)
 
     @property
-    def sensing(self):
-        """The budget and its counts."""
-        return self._sensing
+    def scheduler(self):
+        """The :class:`~camphorshelf_core.sensing.ProbeScheduler`, with its counters."""
+        return self._scheduler
 
     def probe_one(self, candidates):
-        """Probe one of a service's targets if one is worth it and the budget allows.
+        """Probe one of a service's targets, if the scheduler selects one.
 
-        :param candidates: the service's targets.
+        :param candidates: the targets, a list of :class:`~camphorshelf_core.routing.Candidate`.
         :return: None.
         """
-        remote = [one for one in candidates if one.address != self._own_address]
-        probe = self._sensing.next_probe(remote, self._loop.now())
+        remote = [candidate for candidate in candidates if candidate.address != self._own_address]
+        probe = self._scheduler.next_probe(remote, self._loop.now())
         if probe is not None:
             self._send(ProbeMessage(probe.number), probe.address)
 
     def _on_probe(self, message, address):
-        if self._sensing.may_answer(self._loop.now()):
-            self._send(ProbeAnswerMessage(message.number, self._gatekeeper.load), address)
+        if self._scheduler.charge_answer(self._loop.now()):
+            self._send(ProbeAnswerMessage(message.number, self._admission_controller.load), address)
 
     def _on_answer(self, message, _address):
-        asked = self._sensing.match_answer(message.number)
-        if asked is not None:
-            target, sent_at = asked
-            self._keeper.note_report(target, message.load)
-            self._keeper.round_trip.record((self._loop.now() - sent_at) * 1000)
+        probed = self._scheduler.match_answer(message.number)
+        if probed is not None:
+            target, sent_at = probed
+            self._load_tracker.record_report(target, message.load)
+            self._load_tracker.round_trip.record((self._loop.now() - sent_at) * 1000)
 
     def _send(self, message, address):
         data = encode(message)
-        # The charge is a fixed amount per datagram, made before this; it has to cover it.
-        assert len(data) + DATAGRAM_OVERHEAD <= PROBE_BYTES, "a probe outgrew its charge"
+        # The budget was charged a fixed number of bytes per datagram before it was encoded.
+        assert (
+            len(data) + DATAGRAM_OVERHEAD <= PROBE_BYTES
+        ), f"a probe of {len(data)} bytes is larger than its budget"
         self._gossip.send(data, address)
--- a/packages/node/src/camphorshelf_node/tickets.py
+++ b/packages/node/src/camphorshelf_node/tickets.py
@@ -1,4 +1,8 @@
-"""The controllers of calls under tickets: at the target's node and at the entry node."""
+"""Calls with tickets: how the target's node runs them and how an entry node forwards them.
+
+A ticket is an idempotency key that a target's node issues (mints). Only that node runs the call
+that is sent with it, so it can do so at most once without the platform's table.
+"""
 
 import json
 from urllib.parse import parse_qs, urlsplit
@@ -15,31 +19,31 @@
 )
 from camphorshelf_core.tickets import TicketStep, is_ticket, parse_ticket
 
-from .claims import KEY_HEADER, REPLAY_HEADER, digest_of, is_valid_key
+from .claims import KEY_HEADER, REPLAY_HEADER, is_valid_key, request_digest
 from .headers import strip_hop_by_hop, with_deadline
 
 TICKETS_PATH = b"/.camphorshelf/tickets"
-_MAX_COUNT = 100
-_MINT_SECONDS = 1.0
-_RETRY_MS = 1_000
-_RECORD_BYTES = 400
+_MAX_TICKETS_PER_REQUEST = 100
+_MINT_TIMEOUT_SECONDS = 1.0
+_RETRY_AFTER_MS = 1_000
+_RECORD_OVERHEAD_BYTES = 400
 
 
-class TicketDesk:
-    """Mints tickets for the target beside this node and runs each of them once."""
+class TicketRunner:
+    """Mints tickets for the target on this host, and runs the call of each ticket at most once."""
 
-    def __init__(self, loop, once, gatekeeper, book):
+    def __init__(self, loop, at_most_once, admission_controller, store):
         self._loop = loop
-        self._once = once
-        self._gatekeeper = gatekeeper
-        self._book = book
+        self._at_most_once = at_most_once
+        self._admission_controller = admission_controller
+        self._store = store
         self._waiting = {}
 
-    def answer_mint(self, message, reply):
-        """Mint tickets for an entry node.
+    def answer_tickets_request(self, message, reply):
+        """Answer an entry node that requests tickets.
 
-        :param message: its :class:`MintMessage`.
-        :param reply: takes the :class:`MintedMessage`.
+        :param message: the :class:`TicketsRequestMessage`.
+        :param reply: called with the :class:`TicketsMessage`.
         :return: None.
         """
         reply(self.mint(message))
@@ -47,44 +51,50 @@
     def mint(self, message):
         """Mint tickets.
 
-        :param message: the :class:`MintMessage`.
-        :return: the :class:`MintedMessage`.
+        :param message: the :class:`TicketsRequestMessage`.
+        :return: the :class:`TicketsMessage`, with the tickets or a refusal.
         """
-        target = self._gatekeeper.target
+        target = self._admission_controller.announcement
         if target is None or target.service != message.service:
-            return _refuse_mint(Refusal(Code.NO_TARGET, "no such target beside this node"))
+            return _mint_refusal(
+                Refusal(
+                    Code.NO_TARGET, f"the node's host has no target of service {message.service}"
+                )
+            )
         tickets = []
-        for _ in range(min(message.count, _MAX_COUNT)):
-            minted = self._book.mint(message.service, self._loop.now())
+        for _ in range(min(message.count, _MAX_TICKETS_PER_REQUEST)):
+            minted = self._store.mint(message.service, self._loop.now())
             if isinstance(minted, Refusal):
                 break
             tickets.append(minted)
-        return TicketsMessage(0, tuple(tickets), None) if tickets else _refuse_mint(minted)
+        return TicketsMessage(0, tuple(tickets), None) if tickets else _mint_refusal(minted)
 
     def run(self, call, on_done):
-        """Run a call; one under a ticket only when it has not run.
+        """Run a call; with a ticket only if the ticket's call has not run yet.
+
+        A repeated call gets the stored result, or waits for the result of the running one.
 
-        :param call: a :class:`CallMessage`.
-        :param on_done: takes the response or refusal, and the load report.
+        :param call: the :class:`CallMessage`.
+        :param on_done: called with the response or refusal, and the load report.
         :return: a function that cancels the call.
         """
         key = None if is_idempotent(call.method) else header(call.headers, KEY_HEADER)
         text = None if key is None else key.decode("latin-1")
         if text is None or not is_ticket(text):
-            return self._once.run(call, on_done)
+            return self._at_most_once.run(call, on_done)
         ticket = parse_ticket(text)
         if ticket is None:
-            on_done(_bad_ticket(), self._gatekeeper.load)
+            on_done(_bad_ticket_refusal(), self._admission_controller.load)
             return _do_nothing
-        digest = digest_of(call)
-        step, result = self._book.begin(ticket, call.service, digest, self._loop.now())
+        digest = request_digest(call)
+        step, result = self._store.begin(ticket, call.service, digest, self._loop.now())
         if step is TicketStep.ANSWER:
-            on_done(_as_replay(result), self._gatekeeper.load)
+            on_done(_as_replay(result), self._admission_controller.load)
             return _do_nothing
         if step is TicketStep.WAIT:
             waiting = self._waiting[ticket]
             waiting.append(on_done)
-            return lambda: _remove(waiting, on_done)
+            return lambda: _remove_callback(waiting, on_done)
         return self._start(call, ticket, on_done)
 
     def _start(self, call, ticket, on_done):
@@ -92,46 +102,49 @@
 
         def finish(result, load):
             del self._waiting[ticket]
-            self._book.finish(ticket, result, _size(result), self._loop.now())
-            for one in waiting:
-                one(result, load)
+            self._store.finish(ticket, result, _record_bytes(result), self._loop.now())
+            for callback in waiting:
+                callback(result, load)
 
-        cancel = self._once.run(call, finish)
+        cancel = self._at_most_once.run(call, finish)
 
-        def leave():
-            _remove(waiting, on_done)
-            # Once it has started, its answer is worth keeping for a resend. Before that, and
-            # with nobody waiting, it is void and the ticket good for another try.
+        def stop_waiting():
+            _remove_callback(waiting, on_done)
+            # The result of a call that has started is stored for repeated requests. A call that
+            # has not started and that nobody waits for is cancelled; its ticket can be used again.
             is_current = self._waiting.get(ticket) is waiting
-            if is_current and not waiting and not self._once.has_started(call):
+            if is_current and not waiting and not self._at_most_once.has_started(call):
                 cancel()
-                finish(Refusal(Code.CANCELLED, "nobody waits for it"), self._gatekeeper.load)
+                finish(
+                    Refusal(Code.CANCELLED, "nobody waits for the call any more"),
+                    self._admission_controller.load,
+                )
 
-        return leave
+        return stop_waiting
 
 
-class TicketEntry:
-    """Passes calls under tickets to the one node that may run them, and asks for new tickets."""
+class TicketForwarder:
+    """Forwards calls with tickets to the node that minted them, and requests new tickets."""
 
-    def __init__(self, loop, settings, dispatcher, roster, replica, desk, random):
+    def __init__(self, loop, settings, dispatcher, roster, replica, runner, random):
         self._loop = loop
         self._settings = settings
         self._dispatcher = dispatcher
         self._roster = roster
         self._replica = replica
-        self._desk = desk
+        self._runner = runner
         self._random = random
 
     def filter(self, exchange, proceed):
-        """Take calls for or under tickets out of the chain.
+        """Handle requests for tickets and calls with tickets; pass all others to the next filter.
 
         :param exchange: the caller's exchange.
-        :param proceed: the next step of the chain.
+        :param proceed: the next filter of the chain.
         :return: None.
         """
         request = exchange.request
         if request.path.partition(b"?")[0] == TICKETS_PATH:
-            self._mint(exchange)
+            self._request_tickets(exchange)
             return
         key = None if is_idempotent(request.method) else header(request.headers, KEY_HEADER)
         if key is None or not is_ticket(key.decode("latin-1")):
@@ -140,42 +153,44 @@
         ticket = parse_ticket(key.decode("latin-1"))
         if ticket is None or not is_valid_key(request.headers):
             exchange.is_keyed = False
-            exchange.refuse(_bad_ticket())
+            exchange.refuse(_bad_ticket_refusal())
             return
         self._send(exchange, ticket)
 
-    def _mint(self, exchange):
+    def _request_tickets(self, exchange):
         request = exchange.request
         if request.method != "POST":
-            exchange.refuse(Refusal(Code.BAD_REQUEST, "tickets are taken with POST"))
+            exchange.refuse(
+                Refusal(Code.BAD_REQUEST, f"tickets are requested with POST, not {request.method}")
+            )
             return
         members = self._roster.members(exchange.service)
         if not members:
-            reason = "no target of the service takes work"
-            exchange.refuse(Refusal(Code.NO_TARGET, reason, retry_after_ms=_RETRY_MS))
+            reason = f"service {exchange.service} has no target"
+            exchange.refuse(Refusal(Code.NO_TARGET, reason, retry_after_ms=_RETRY_AFTER_MS))
             return
         member = self._random.choice(members)
         message = TicketsRequestMessage(0, exchange.service, _read_count(request.path))
         if member.address == self._settings.listen.peers:
-            self._give_tickets(exchange, self._desk.mint(message))
+            self._send_tickets(exchange, self._runner.mint(message))
             return
 
         def done(answer):
             timer.cancel()
-            self._give_tickets(exchange, answer)
+            self._send_tickets(exchange, answer)
 
-        def give_up():
+        def on_timeout():
             cancel()
-            self._give_tickets(exchange, None)
+            self._send_tickets(exchange, None)
 
-        timer = self._loop.call_later(_MINT_SECONDS, exchange.guard(give_up))
+        timer = self._loop.call_later(_MINT_TIMEOUT_SECONDS, exchange.guard(on_timeout))
         link = self._dispatcher.link(member.address)
         cancel = link.call(message, exchange.guard(done))
 
-    def _give_tickets(self, exchange, answer):
+    def _send_tickets(self, exchange, answer):
         if not isinstance(answer, TicketsMessage):
-            reason = "the target's node did not answer"
-            exchange.refuse(Refusal(Code.PEER_LOST, reason, retry_after_ms=_RETRY_MS))
+            reason = "the target's node did not answer the request for tickets"
+            exchange.refuse(Refusal(Code.PEER_LOST, reason, retry_after_ms=_RETRY_AFTER_MS))
             return
         refusal = unpack_result(None, answer.refusal)
         if refusal is not None:
@@ -187,22 +202,22 @@
     def _send(self, exchange, ticket):
         member = self._replica.member(ticket.node)
         if member is None or not member.in_use or member.incarnation != ticket.incarnation:
-            exchange.refuse(_node_gone(is_final=member is not None))
+            exchange.refuse(_node_gone_refusal(is_final=member is not None))
             return
         message = self._make_message(exchange, ticket)
         call = _TicketCall(self._loop, exchange)
         if member.address == self._settings.listen.peers:
-            call.start(lambda done: self._desk.run(message, lambda result, _load: done(result)))
+            call.start(lambda done: self._runner.run(message, lambda result, _load: done(result)))
         else:
             link = self._dispatcher.link(member.address)
-            call.start(lambda done: link.call(message, lambda answer: done(_read(answer))))
+            call.start(lambda done: link.call(message, lambda answer: done(_to_result(answer))))
 
     def _make_message(self, exchange, ticket):
         request = exchange.request
         deadline_ms = max(1, int((exchange.deadline - self._loop.now()) * 1000))
         return CallMessage(
             call_id=0,
-            attempt=self._dispatcher.next_attempt(),
+            attempt=self._dispatcher.next_attempt_id(),
             service=exchange.service,
             target=ticket.node,
             deadline_ms=deadline_ms,
@@ -215,7 +230,7 @@
 
 
 class _TicketCall:
-    """One call under a ticket on its way to its node."""
+    """A call with a ticket that is forwarded to the ticket's node."""
 
     def __init__(self, loop, exchange):
         self._loop = loop
@@ -225,7 +240,7 @@
 
     def start(self, send):
         exchange = self._exchange
-        exchange.when_hung_up(self._give_up)
+        exchange.set_disconnect_handler(self._give_up)
         wait = max(0.0, exchange.deadline - self._loop.now())
         self._timer = self._loop.call_later(wait, exchange.guard(self._on_deadline))
         self._cancel = send(exchange.guard(self._on_result))
@@ -236,16 +251,16 @@
         if isinstance(result, Response):
             exchange.answer(result)
             return
-        # Only the node that minted the ticket may say that it did not run. That this node
-        # could not reach it tells nothing of an earlier send through another one.
+        # Only the node that minted the ticket can tell that the call has not run. If this node
+        # can't reach it, the call may have run after an earlier request through another node.
         exchange.is_keyed = result.code is Code.PEER_LOST
         if result.code is Code.PEER_LOST:
-            result = _node_gone(is_final=False)
+            result = _node_gone_refusal(is_final=False)
         exchange.refuse(result)
 
     def _on_deadline(self):
         self._give_up()
-        reason = "the deadline passed before the answer came"
+        reason = "the deadline passed before the call was answered"
         self._exchange.refuse(Refusal(Code.DEADLINE_EXCEEDED, reason, Ran.OUTCOME_UNKNOWN))
 
     def _give_up(self):
@@ -253,7 +268,7 @@
         self._cancel()
 
 
-def _read(answer):
+def _to_result(answer):
     if isinstance(answer, Refusal):
         return answer
     if isinstance(answer, AnswerMessage):
@@ -261,23 +276,23 @@
     return Refusal(Code(answer.code), answer.reason, Ran(answer.ran), answer.retry_after_ms)
 
 
-def _refuse_mint(refusal):
+def _mint_refusal(refusal):
     return TicketsMessage(0, (), pack_result(refusal)[1])
 
 
 def _read_count(path):
     values = parse_qs(urlsplit(path.decode("latin-1")).query).get("count", ["1"])
-    is_count = values[0].isdecimal() and len(values[0]) <= len(str(_MAX_COUNT))
+    is_count = values[0].isdecimal() and len(values[0]) <= len(str(_MAX_TICKETS_PER_REQUEST))
     return max(1, int(values[0])) if is_count else 1
 
 
-def _node_gone(is_final):
-    reason = "the node that minted the ticket is gone or cannot be reached; no other runs it"
-    retry_after_ms = None if is_final else _RETRY_MS
+def _node_gone_refusal(is_final):
+    reason = "the node that minted the ticket has ended or cannot be reached; no other may run it"
+    retry_after_ms = None if is_final else _RETRY_AFTER_MS
     return Refusal(Code.TICKET_NODE_GONE, reason, Ran.OUTCOME_UNKNOWN, retry_after_ms)
 
 
-def _bad_ticket():
+def _bad_ticket_refusal():
     return Refusal(Code.BAD_TICKET, "the ticket is malformed")
 
 
@@ -287,17 +302,17 @@
     return result
 
 
-def _size(result):
+def _record_bytes(result):
     if not isinstance(result, Response):
-        return _RECORD_BYTES
+        return _RECORD_OVERHEAD_BYTES
     headers = sum(len(name) + len(value) for name, value in result.headers)
-    return _RECORD_BYTES + headers + len(result.body)
+    return _RECORD_OVERHEAD_BYTES + headers + len(result.body)
 
 
-def _remove(waiting, on_done):
+def _remove_callback(waiting, on_done):
     if on_done in waiting:
         waiting.remove(on_done)
 
 
 def _do_nothing():
-    """Stands for the cancellation of a call that never began."""
+    """Cancel nothing; used for calls that are not running."""
