--- a/packages/core/src/camphorshelf_core/directory.py
+++ b/packages/core/src/camphorshelf_core/directory.py
@@ -20,7 +20,7 @@
 
     def __init__(self):
         self._views = {}
-        # When each known host was added or last heard, by address.
+        # When each known host was added or last sent a newer status, by address.
         self._known_at = {}
         self._forgotten_at = {}
         # Addresses without a view, in the order in which they were added.
@@ -121,7 +121,7 @@
         return [view for view in self._views.values() if not view.is_gone(now)]
 
     def targets(self, service, domain, now, random):
-        """List the hosts whose target runs a service and is usable; a random sample of many.
+        """List the usable hosts whose target runs a service; a random sample if there are many.
 
         The sample bounds the cost of a choice. The order is random, so that entry nodes don't all
         try hosts of equal status in the same order.
@@ -163,9 +163,9 @@
             if view is not None:
                 self._remove_from_index(view.status)
         self._forgotten_at = {
-            address: at
-            for address, at in self._forgotten_at.items()
-            if now - at <= _FORGOTTEN_ADDRESS_SECONDS
+            address: forgotten_at
+            for address, forgotten_at in self._forgotten_at.items()
+            if now - forgotten_at <= _FORGOTTEN_ADDRESS_SECONDS
         }
         return expired
 
--- a/packages/core/src/camphorshelf_core/failuredetector.py
+++ b/packages/core/src/camphorshelf_core/failuredetector.py
@@ -184,7 +184,7 @@
         return self._random.choice(suspects).status.address if suspects else None
 
     def _next_in_round(self, addresses_left, list_addresses, now):
-        # Each member once a round, in random order.
+        # Each member is probed once a round, in random order.
         if not addresses_left:
             addresses = list_addresses()
             self._random.shuffle(addresses)
@@ -207,6 +207,6 @@
 def _needs_probe(view, now):
     if view.suspected_at is not None:
         return False
-    # A host that has stopped pushing may have changed to being probed, and the status that said so
-    # may have been lost.
+    # A host that has stopped pushing may now rely on being probed; the status that announced this
+    # change may have been lost.
     return not view.pushes_load or view.is_silent(now)
--- a/packages/core/src/camphorshelf_core/hostdatagrams.py
+++ b/packages/core/src/camphorshelf_core/hostdatagrams.py
@@ -1,4 +1,4 @@
-"""The datagrams between hosts: statuses, probes, announcements and addresses.
+"""The datagrams between hosts: statuses, probes, suspicions and addresses.
 
 A status has a full and a short form. Most of a full status are names that rarely change. The short
 form has only the numbers that change often. A receiver that doesn't hold a full status of the same
@@ -25,9 +25,9 @@
 class StatusRequest(NamedTuple):
     """Probes a host for its current status.
 
-    :param incarnation: the incarnation of the host that the sender knows; empty for none.
-    :param revision: the revision of the status that the sender holds; if it is still valid, the
-        short form is enough.
+    :param incarnation: the host's incarnation in the status that the sender holds; empty for none.
+    :param revision: the revision of that status; the host responds with a short status if it is
+        still the same.
     :param is_suspected: whether the sender suspects the host of having failed.
     """
 
@@ -37,7 +37,7 @@
 
 
 class Greeting(NamedTuple):
-    """A host's status, sent to a host that it has not heard; asks for that host's status.
+    """A host's status, sent to a host without a known status; asks for that host's status.
 
     :param status: the :class:`~camphorshelf_core.hosts.HostStatus`.
     """
@@ -46,7 +46,7 @@
 
 
 class MemberUpdates(NamedTuple):
-    """Announcements that members should receive at once.
+    """Statuses and suspicions that members should receive at once.
 
     :param must_forward: whether the receiver has to forward them in its failure domain.
     :param items: a tuple of :class:`~camphorshelf_core.hosts.HostStatus` and
@@ -60,7 +60,7 @@
 class ProbeRequest(NamedTuple):
     """Asks a member to probe another one.
 
-    :param address: the address of the links of the member to probe.
+    :param address: the address of that member's links.
     """
 
     address: str
@@ -138,7 +138,7 @@
     :param data: the datagram's bytes.
     :param find_status: takes an incarnation and returns the last status held of it, or None.
     :return: a :class:`~camphorshelf_core.hosts.HostStatus` or another message of this module; None
-        when the bytes are neither.
+        when the bytes are not a valid datagram.
     """
     try:
         kind, *fields = cbor2.loads(data)
@@ -161,8 +161,8 @@
     return (_KINDS[type(message)], *message)
 
 
-def _parse_member_updates(must_forward, entries):
-    items = [_from_fields(entry[0], entry[1:]) for entry in entries]
+def _parse_member_updates(must_forward, encoded_items):
+    items = [_from_fields(encoded[0], encoded[1:]) for encoded in encoded_items]
     if not all(isinstance(item, HostStatus | Suspicion) for item in items):
         return None
     return MemberUpdates(bool(must_forward), tuple(items))
--- a/packages/core/src/camphorshelf_core/hosts.py
+++ b/packages/core/src/camphorshelf_core/hosts.py
@@ -26,13 +26,13 @@
 _SUSPICION_SILENCE_SECONDS = 0.5
 # A suspected host that has not refuted the suspicion for this long counts as gone.
 SUSPICION_SECONDS = 1.5
-# A host that has not responded to a probe for this long is chosen last until it is heard again.
+# A host that has not responded to a probe for this long is chosen last until its next status.
 _PROBE_TIMEOUT_SECONDS = 0.1
 # A probed load is used for routing for this long.
 FRESH_SECONDS = 0.04
-# An incarnation is a number written in symbols that sort as their values do. Its high bits are the
-# start time in microseconds; its low bits are random, so that two processes that start in the same
-# microsecond differ.
+# An incarnation is a number encoded in characters whose sort order is that of their values, so that
+# incarnations can be compared as strings. Its high bits are the start time in microseconds; its low
+# bits are random, so that two processes that start in the same microsecond differ.
 _SYMBOLS = "".join(sorted(string.ascii_letters + string.digits + "-_"))
 _SYMBOL_BITS = 6
 _SYMBOL_COUNT = 12
@@ -109,11 +109,11 @@
     :param limit: how many requests may run at the same time.
     :param running: how many requests run.
     :param queued: how many requests wait for a running one to end.
-    :param slowness: how long requests take there now, relative to usual (1.0).
-    :param work_s: the mean run time of a request there at a slowness of 1.0, in seconds; 0.0 when
+    :param slowness: how long requests to the target take now, relative to usual (1.0).
+    :param work_s: the mean run time of a request at a slowness of 1.0, in seconds; 0.0 when
         unknown.
     :param failure_ratio: the share of recent requests that failed, 0.0 to 1.0.
-    :param config_version: the version of the configuration in force there; 0 for none.
+    :param config_version: the version of the configuration in force on the host; 0 for none.
     :param lacks_store_access: whether the store refuses its node's calls or doesn't respond.
     :param revision: increases with each change of a field that a short status leaves out.
     :param push_interval_s: the longest time between two statuses that it pushes, in seconds; 0.0
@@ -121,7 +121,8 @@
     :param crashes: pairs of a request's fingerprint and how often the target crashed while
         running it.
     :param start_wait_s: seconds until a cold target may get another request; 0.0 for at once.
-    :param evacuation_version: the version of the last change of evacuations known there.
+    :param evacuation_version: the version of the last change of evacuations that the host
+        knows.
     """
 
     host: str
@@ -160,7 +161,8 @@
         self.probed_at = None
         # Since when the host is suspected of having failed; None when it is not.
         self.suspected_at = None
-        # Requests that this node sent there since its last status, which doesn't count them.
+        # Requests that this node sent to the host since the host's last status, which doesn't
+        # include them.
         self.requests_since_status = 0
 
     @property
@@ -185,7 +187,7 @@
         return True
 
     def suspect(self, incarnation, now):
-        """Suspect the host, unless this node heard it while another one waited for its response.
+        """Suspect the host, unless this node received a status from it since the failed probes.
 
         :param incarnation: the incarnation of the process that did not respond.
         :param now: seconds on the monotonic clock.
@@ -215,7 +217,7 @@
         return self.pushes_load or now - self.heard_at <= FRESH_SECONDS
 
     def is_silent(self, now):
-        """Tell whether the host is used only when no other is left.
+        """Tell whether the host is used only when no other one is usable.
 
         This holds for a host that is suspected, whose response to a probe is late, or that has
         stopped pushing.
@@ -238,8 +240,8 @@
         """
         if self.suspected_at is not None and now - self.suspected_at > SUSPICION_SECONDS:
             return True
-        longest = max(GONE_SECONDS, self.status.push_interval_s * _SILENT_INTERVALS)
-        return self.pushes_load and now - self.heard_at > longest
+        max_silence = max(GONE_SECONDS, self.status.push_interval_s * _SILENT_INTERVALS)
+        return self.pushes_load and now - self.heard_at > max_silence
 
     def is_usable(self, now):
         """Tell whether requests may be sent to the host's target.
--- a/packages/core/src/camphorshelf_core/instances.py
+++ b/packages/core/src/camphorshelf_core/instances.py
@@ -1,4 +1,4 @@
-"""Which process of the target runs beside the node, and whether it accepts work.
+"""Tracks which process of the target runs beside the node, and whether it accepts work.
 
 Heartbeats of a target may arrive late, out of order or from an earlier process, and the node may
 have been restarted beside a running target and know nothing of it. Relying on the wrong process
@@ -46,7 +46,7 @@
         # Whether the process was first seen in an unhealthy response and has sent no healthy one.
         self._unhealthy = False
         self._down = False
-        # Ids of other processes that were replaced or have said that they end, oldest first.
+        # Ids of other processes that were replaced or have announced their end, oldest first.
         self._ended = []
         self._warm_at = 0.0
         self.service = ""
@@ -54,17 +54,17 @@
 
     @property
     def instance(self):
-        """The id of the process that requests are for; empty when none is known."""
+        """The id of the current process; empty when none is known."""
         return self._instance
 
     @property
     def started_ms(self):
-        """When that process started, in Unix milliseconds; None when not given."""
+        """When the current process started, in Unix milliseconds; None when not given."""
         return self._started_ms
 
     @property
     def leaving(self):
-        """Whether the process has announced that it ends and accepts no more work."""
+        """Whether the process has announced that it is about to end and accepts no more work."""
         return self._leaving
 
     @property
@@ -99,8 +99,8 @@
             self._replace(heartbeat.instance)
             self._unhealthy = False
         elif self._unhealthy and self._sequence >= 0 and not heartbeat.leaving:
-            # The health path's response was unhealthy when this node started. The first heartbeat
-            # without "leaving" may have been sent before that response; the second one was not.
+            # The process was first seen in an unhealthy response. Its first heartbeat without
+            # "leaving" may have been sent before that response; the second one was not.
             self._confirmed = True
         self._instance = heartbeat.instance
         if heartbeat.started_ms is not None:
--- a/packages/core/src/camphorshelf_core/join.py
+++ b/packages/core/src/camphorshelf_core/join.py
@@ -65,7 +65,7 @@
 
 
 def is_stale(member, age):
-    """Tell whether a row should be deleted because its node is gone for good.
+    """Tell whether a row should be deleted because its node is permanently gone.
 
     :param member: the known :class:`Member` of the row's node, or None.
     :param age: the seconds since the member's record last changed.
--- a/packages/core/src/camphorshelf_core/membership.py
+++ b/packages/core/src/camphorshelf_core/membership.py
@@ -27,6 +27,7 @@
 # One dead member is pinged every this many periods.
 _DEAD_PING_PERIODS = 10
 _MAX_RELAYED_PINGS = 64
+# Until this long after its start, a process refutes even a record of a greater generation.
 _STARTUP_SECONDS = 30.0
 
 
@@ -203,7 +204,7 @@
 
     def _ping_dead_member(self, now):
         """Ping one dead member, so that the sides of a healed partition find each other again."""
-        dead = [one for one in self._replica.members() if one.state == MemberState.DEAD]
+        dead = [peer for peer in self._replica.members() if peer.state == MemberState.DEAD]
         if dead:
             member = self._random.choice(dead)
             self._send_ping(member.address, now, member.node)
@@ -235,11 +236,11 @@
                 self._merge_member(member._replace(state=MemberState.DEAD), now)
 
     def _answer_ping(self, message, address, now):
-        def make(members, entries):
-            members = self._record_unless_alive(message.sender) + members
+        def make_message(members, entries):
+            members = self._pack_unless_alive(message.sender) + members
             return AckMessage(message.sequence, self._own.node, members, entries)
 
-        self._outbox.send_with_changes(address, make, now)
+        self._outbox.send_with_changes(address, make_message, now)
         self._repair(message, address, now)
 
     def _repair(self, message, address, now):
@@ -300,7 +301,7 @@
         if member.generation > self._own.generation:
             if now - self._started_at > _STARTUP_SECONDS:
                 # A newer process uses this name: this one was frozen or cut off while its host
-                # was replaced. A refutation would send calls to the two hosts by turns.
+                # was replaced. If both kept refuting, calls would go to the two hosts in turn.
                 self._superseded = True
                 return
             self._own = self._own._replace(generation=member.generation + 1, revision=0)
@@ -318,7 +319,7 @@
             self._push(now)
 
     def _push(self, now):
-        """Send queued changes to some members at once; later pings bring them to the others."""
+        """Send queued changes to some members at once; later pings carry them to the others."""
         if not self._outbox.has_room(_PUSH_FANOUT, now):
             return
         for member in self._sample(_PUSH_FANOUT):
@@ -329,7 +330,7 @@
             )
 
     def _sample(self, count, exclude=None):
-        others = [one for one in self.members() if one.node not in (self._own.node, exclude)]
+        others = [peer for peer in self.members() if peer.node not in (self._own.node, exclude)]
         return self._random.sample(others, min(count, len(others)))
 
     def _send_ping(self, address, now, node=None):
@@ -339,16 +340,18 @@
         buckets = ((first + offset) % BUCKETS for offset in range(_DIGESTS_PER_PING))
         digests = tuple(self._replica.digest(bucket) for bucket in buckets)
 
-        def make(members, entries):
+        def make_message(members, entries):
             if node is not None:
-                members = self._record_unless_alive(node) + members
+                members = self._pack_unless_alive(node) + members
             return PingMessage(sequence, self._own.node, first, digests, members, entries)
 
-        self._outbox.send_with_changes(address, make, now, _DIGESTS_PER_PING * _DIGEST_BYTES)
+        self._outbox.send_with_changes(
+            address, make_message, now, _DIGESTS_PER_PING * _DIGEST_BYTES
+        )
         return sequence
 
-    def _record_unless_alive(self, node):
-        """Return the record that tells a member that it is suspected or dead, so it can refute."""
+    def _pack_unless_alive(self, node):
+        """Pack the record of a suspected or dead member, to be sent to it so that it can refute."""
         member = self._replica.member(node)
         if member is None or member.state == MemberState.ALIVE:
             return ()
--- a/packages/core/src/camphorshelf_core/messages.py
+++ b/packages/core/src/camphorshelf_core/messages.py
@@ -52,7 +52,7 @@
 
 
 class CancelMessage(NamedTuple):
-    """Cancels a call whose answer nobody waits for any more."""
+    """Cancels a call whose answer is no longer awaited."""
 
     call_id: int
 
@@ -81,7 +81,10 @@
 
 
 class VersionMessage(NamedTuple):
-    """Reports the sender's version, and the configuration itself if ``want_body`` asked for it."""
+    """Reports the sender's version, and the configuration itself if ``want_body`` asked for it.
+
+    ``proved`` tells whether the sender has proof that its version is current.
+    """
 
     call_id: int
     node: str
@@ -216,7 +219,7 @@
 class RelayAnswerMessage(NamedTuple):
     """Carries a target's whole answer to a relayed request.
 
-    ``waited_s`` and ``ran_s`` are how long the request waited and ran there, in seconds.
+    ``waited_s`` and ``ran_s`` are how long the request waited for the target and ran, in seconds.
     """
 
     call_id: int
--- a/packages/core/src/camphorshelf_core/outbox.py
+++ b/packages/core/src/camphorshelf_core/outbox.py
@@ -76,11 +76,12 @@
         else:
             self._dropped += 1
 
-    def send_with_changes(self, address, make, now, extra_bytes=0):
+    def send_with_changes(self, address, make_message, now, extra_bytes=0):
         """Send a message with as many queued changes as fit into one datagram.
 
         :param address: the receiver's ``IP:PORT``.
-        :param make: makes the message from a tuple of packed members and one of packed entries.
+        :param make_message: called with a tuple of packed members and one of packed entries;
+            returns the message.
         :param now: seconds on the monotonic clock.
         :param extra_bytes: the size of the message's other contents, without its header.
         :return: None.
@@ -90,7 +91,7 @@
         members, entries = self._queue.select_changes(
             self._replica, room, self._replica.member_count
         )
-        self.send(address, make(tuple(members), tuple(entries)), now)
+        self.send(address, make_message(tuple(members), tuple(entries)), now)
 
     def send_items(self, address, keys, now):
         """Send as many of the given items as fit into one datagram.
--- a/packages/core/src/camphorshelf_core/partners.py
+++ b/packages/core/src/camphorshelf_core/partners.py
@@ -20,7 +20,7 @@
 
 
 def choose_partners(own, members, count):
-    """Choose the peers that a node asks for their version; the choice is stable while they live.
+    """Choose the peers that a node asks for their version; the choice is stable while they are up.
 
     Each node ranks its peers by a hash of both names, so that the choices of all nodes form a
     random graph: with four partners each, a change reaches 2,100 nodes in about six steps. At
@@ -33,12 +33,12 @@
     :return: a list of names.
     """
     name, domain = own
-    ranked = sorted(members, key=lambda one: _rank(name, one[0]))
-    remote = [one[0] for one in ranked if one[1] != domain]
-    local = [one[0] for one in ranked if one[1] == domain]
-    first = remote[: count - count // 2]
-    chosen = first + local[: count - len(first)]
-    return chosen + remote[len(first) :][: count - len(chosen)]
+    ranked = sorted(members, key=lambda peer: _rank(name, peer[0]))
+    remote = [peer[0] for peer in ranked if peer[1] != domain]
+    local = [peer[0] for peer in ranked if peer[1] == domain]
+    chosen_remote = remote[: count - count // 2]
+    chosen = chosen_remote + local[: count - len(chosen_remote)]
+    return chosen + remote[len(chosen_remote) :][: count - len(chosen)]
 
 
 def _rank(name, peer):
--- a/packages/core/src/camphorshelf_core/probing.py
+++ b/packages/core/src/camphorshelf_core/probing.py
@@ -62,7 +62,9 @@
         while True:
             if not self._round:
                 members = replica.members()
-                nodes = [one.node for one in members if one.in_use and one.node != self._own_node]
+                nodes = [
+                    peer.node for peer in members if peer.in_use and peer.node != self._own_node
+                ]
                 if not nodes:
                     return None
                 self._random.shuffle(nodes)
--- a/packages/core/src/camphorshelf_core/roster.py
+++ b/packages/core/src/camphorshelf_core/roster.py
@@ -18,7 +18,7 @@
 
 
 class Announcement(NamedTuple):
-    """What a target announces of itself to the node beside it."""
+    """What a target announces about itself to the node beside it."""
 
     service: str
     address: str
--- a/packages/core/src/camphorshelf_core/settings.py
+++ b/packages/core/src/camphorshelf_core/settings.py
@@ -114,8 +114,8 @@
 
     ``caller_header`` names the header that identifies the caller. Without this setting, or when a
     request lacks the header, the caller is identified by its IP address. ``not_run_header`` names
-    the header with which a target marks a 503 response of work that did not run; its value must be
-    ``NOT_RUN``. Without this setting a 503 is passed on as the target's own response.
+    the header with which a target marks a 503 response to a request that it did not run; its value
+    must be ``NOT_RUN``. Without this setting a 503 is passed on as the target's own response.
     """
 
     policy: Literal["ours", "fifo"] = "ours"
@@ -185,7 +185,14 @@
 
 
 class ConfigurationSettings(NamedTuple):
-    """How the configuration spreads, and when a node no longer relies on its own version."""
+    """How the configuration spreads, and when a node no longer relies on its own version.
+
+    While the platform doesn't answer, peers in ``proof_domains`` failure domains must show that a
+    node's version is current. A node refuses calls after its process was paused for more than
+    ``freeze_ms``, until its version is proved again; when it has known of a newer version for more
+    than ``behind_ms`` without getting it; and, if it has peers, when neither the platform nor any
+    peer has answered for more than ``cut_off_ms``, where 0 means no limit.
+    """
 
     polls_per_second: Annotated[float, Field(gt=0, le=100)] = 4.0
     partners: Annotated[int, Field(ge=1, le=16)] = 4
--- a/packages/core/src/camphorshelf_core/storepollers.py
+++ b/packages/core/src/camphorshelf_core/storepollers.py
@@ -4,7 +4,7 @@
 change, each change would cost as many calls as there are nodes. So only a few nodes poll, the first
 ones in the order of a hash of their names, and the others receive changes from them. A node that
 hears from no poller polls by itself: nodes that are alone, cut off, or connected only to a poller
-without store access thus still receive all changes.
+without store access therefore still receive all changes.
 """
 
 from functools import lru_cache
@@ -22,9 +22,9 @@
 def is_poller(name, others):
     """Tell whether a node should poll the store.
 
-    The pollers are the first nodes with store access in an order that is the same on all nodes.
-    When all of them lose their access, the next three try, and so on. In an outage for all, each
-    node thus tries once, and not all at the same time.
+    The pollers are the first nodes with store access, in an order that is the same on all nodes.
+    When they lose their access, the next three become pollers, and so on. In an outage of the
+    store, each node therefore polls once, but not all nodes at the same time.
 
     :param name: the node's own name.
     :param others: pairs of a live node's name and whether that node lacks store access; an
@@ -52,8 +52,8 @@
 def is_default_poller(name, others):
     """Tell whether a node polls even when it lacks store access.
 
-    The first nodes of all do, so that some notice within a second when the store is available
-    again; the others learn it from them.
+    The first nodes in the order of hashes always poll, so that some of them notice within a second
+    when the store is available again. The other nodes learn this from them.
 
     :param name: the node's own name.
     :param others: as for :func:`is_poller`.
@@ -63,7 +63,7 @@
 
 
 def _count_before(name, others):
-    # Counting stops at POLLER_COUNT: in a large fleet most nodes reach it after a few others.
+    # Counting stops at POLLER_COUNT: in a large fleet most nodes reach it after a few names.
     own = _rank(name)
     before = (other for other in others if _rank(other) < own)
     return sum(1 for _ in islice(before, POLLER_COUNT))
--- a/packages/core/src/camphorshelf_core/subset.py
+++ b/packages/core/src/camphorshelf_core/subset.py
@@ -18,17 +18,17 @@
 _LINK_UTILISATION = 0.6
 
 
-def subset_size(wanted, targets, entries, link_limit):
+def subset_size(max_size, targets, entries, link_limit):
     """Compute how many targets of a service an entry node uses.
 
-    :param wanted: the largest number that the settings allow.
+    :param max_size: the largest number that the settings allow.
     :param targets: the number of targets of the service.
     :param entries: the number of nodes, each of which may be an entry node for the service.
     :param link_limit: the largest number of links that a target's node may hold.
     :return: the number of targets; below ``MIN_SUBSET_SIZE`` only when the service has fewer.
     """
-    fair = int(link_limit * _LINK_UTILISATION * targets / max(entries, 1))
-    return min(targets, max(MIN_SUBSET_SIZE, min(wanted, fair)))
+    link_share = int(link_limit * _LINK_UTILISATION * targets / max(entries, 1))
+    return min(targets, max(MIN_SUBSET_SIZE, min(max_size, link_share)))
 
 
 def choose_subset(entry, failure_domain, members, size):
--- a/packages/core/src/camphorshelf_core/teams.py
+++ b/packages/core/src/camphorshelf_core/teams.py
@@ -21,10 +21,10 @@
 def find_operator(tokens, presented):
     """Find the operator that a presented token belongs to.
 
-    Tokens are 32 random bytes, so one round of SHA-256 is enough: they can't be guessed from a
-    list, which is what a slow hash would make expensive. A slow hash on the node's only thread
-    would let anyone block its calls by sending wrong tokens. All hashes are compared, each in
-    constant time, so that the response time doesn't reveal which one nearly matched.
+    Tokens are 32 random bytes, so one round of SHA-256 is enough: slow hashes protect secrets that
+    can be guessed from a list. A slow hash on the node's only thread would let anyone block its
+    calls by sending wrong tokens. All hashes are compared, each in constant time, so that the
+    response time doesn't reveal which one nearly matched.
 
     :param tokens: the node's list of :class:`~camphorshelf_core.settings.TokenSettings`.
     :param presented: the presented token as text.
