--- a/packages/core/src/camphorshelf_core/answers.py
+++ b/packages/core/src/camphorshelf_core/answers.py
@@ -5,7 +5,7 @@
 
 from .calls import Response
 
-_OVERHEAD_BYTES = 400
+_ENTRY_OVERHEAD_BYTES = 400
 
 
 class CachedAnswer(NamedTuple):
@@ -94,5 +94,5 @@
 def _size_bytes(result):
     if isinstance(result, Response):
         headers = sum(len(name) + len(value) for name, value in result.headers)
-        return _OVERHEAD_BYTES + headers + len(result.body)
-    return _OVERHEAD_BYTES
+        return _ENTRY_OVERHEAD_BYTES + headers + len(result.body)
+    return _ENTRY_OVERHEAD_BYTES
--- a/packages/core/src/camphorshelf_core/attempts.py
+++ b/packages/core/src/camphorshelf_core/attempts.py
@@ -1,4 +1,4 @@
-"""Decides which attempts may start; both nodes of a call keep such a registry.
+"""Decides which attempts may start; both nodes of a call keep a registry of their attempts.
 
 A node may answer that a call did not run only if its attempt was voided before the answer was sent,
 and an attempt may start only if it isn't void. Both decisions use the same record, so that a
--- a/packages/core/src/camphorshelf_core/baselines.py
+++ b/packages/core/src/camphorshelf_core/baselines.py
@@ -39,7 +39,7 @@
 
 def _make_least_reported(random):
     # The reported load counts at face value, however old the report is.
-    return lambda usable: min(usable, key=lambda candidate: (candidate.reported, random.random()))
+    return lambda usable: min(usable, key=lambda candidate: (candidate.reported_calls, random.random()))
 
 
 _PICKS = {
--- a/packages/core/src/camphorshelf_core/claimactions.py
+++ b/packages/core/src/camphorshelf_core/claimactions.py
@@ -1,4 +1,4 @@
-"""The actions that a node carries out for the claims of its callers' keys."""
+"""The actions that the :class:`~camphorshelf_core.claims.ClaimTracker` returns to its node."""
 
 from typing import NamedTuple
 
@@ -18,7 +18,7 @@
 
 
 class WriteClaim(NamedTuple):
-    """Write a claim's row if its version is ``expected``; None means that it must not exist."""
+    """Write a claim's row if its version is ``expected``; None: there must be no row."""
 
     key: ClaimKey
     record: ClaimRecord
@@ -57,7 +57,7 @@
 
 
 class MarkClaim(NamedTuple):
-    """Write the state of a finished attempt to the table in the background; nobody waits for it."""
+    """Write an attempt's final state to the table in the background; no caller waits for it."""
 
     key: ClaimKey
     record: ClaimRecord
--- a/packages/core/src/camphorshelf_core/claimrecords.py
+++ b/packages/core/src/camphorshelf_core/claimrecords.py
@@ -10,7 +10,7 @@
 
 
 class ClaimKey(NamedTuple):
-    """Identifies a call: the service, and the key that the caller chose."""
+    """Identifies a call: the service, and the caller's idempotency key."""
 
     service: str
     key: str
--- a/packages/core/src/camphorshelf_core/claimrefusals.py
+++ b/packages/core/src/camphorshelf_core/claimrefusals.py
@@ -1,4 +1,4 @@
-"""The refusals of calls with a caller's key; each states whether the call ran."""
+"""The refusals of calls with a caller's idempotency key; each states whether the call ran."""
 
 from .claimrecords import OwnerState
 from .errors import Code, Ran, Refusal
--- a/packages/core/src/camphorshelf_core/claims.py
+++ b/packages/core/src/camphorshelf_core/claims.py
@@ -1,10 +1,10 @@
-"""Runs a call with a caller's key at most once, by a claim in the table and its owner's record.
+"""Runs a call with a caller's idempotency key at most once.
 
-A claim is a row that is inserted, if there is none, before the call is dispatched; only the node
-whose write took effect dispatches the call. Claims use neither leases nor clocks, so a paused node
-can't rely on one that has expired. An open claim is taken over only after its owner has reported,
-or written to the row, that its attempt is void permanently. docs/design/at-most-once.md compares
-the alternatives and maps each transition to the model.
+A claim is a row of the table that is inserted, if there is none, before the call is dispatched;
+only the node whose write took effect, the claim's owner, dispatches the call. Claims use neither
+leases nor clocks, so a paused node can't rely on one that has expired. An open claim is taken over
+only after its owner has reported, or written to the row, that its attempt is void permanently.
+docs/design/at-most-once.md compares the alternatives and maps each transition to the model.
 """
 
 from enum import Enum
@@ -40,7 +40,11 @@
 
 
 class _Claim:
-    """The call for one key at this node, from its first request to its outcome."""
+    """The call for one key at this node, from its first request to its outcome.
+
+    This node's write replaces a row of version ``expected``, or inserts one if that is None, and
+    gives it ``version``; ``found_version`` is the version of another attempt's open row.
+    """
 
     def __init__(self, key, digest, waiter):
         self.key = key
@@ -57,7 +61,7 @@
 
 
 class ClaimTracker:
-    """Tracks the calls with callers' keys at this node.
+    """Tracks the calls with callers' idempotency keys at this node.
 
     Each method that processes an event returns the actions that the node must carry out.
     """
@@ -205,7 +209,9 @@
             self._registry.mark_voided(attempt)
         else:
             self._answers.store(key, attempt, claim.digest, result, now)
-        record = self._record(claim)._replace(state=state, answer=self._storable_answer(result))
+        record = self._make_record(claim)._replace(
+            state=state, answer=self._storable_answer(result)
+        )
         mark = MarkClaim(key, record, claim.version, self._random_version())
         return [*self._settle(claim, result, now), mark]
 
@@ -282,7 +288,7 @@
         # not get the version that a slow node still expects.
         return self._random.getrandbits(53)
 
-    def _record(self, claim):
+    def _make_record(self, claim):
         return ClaimRecord(claim.attempt, *self._owner, claim.digest)
 
     def _write(self, claim, expected):
@@ -291,7 +297,7 @@
         claim.expected = expected
         claim.version = self._random_version()
         claim.may_be_written = False
-        return [WriteClaim(claim.key, self._record(claim), expected, claim.version)]
+        return [WriteClaim(claim.key, self._make_record(claim), expected, claim.version)]
 
     def _read(self, claim):
         claim.phase = _Phase.READING
@@ -299,18 +305,18 @@
 
     def _run(self, claim):
         if not self._invariants.holds("attempt_starts_once", self._registry.start(claim.attempt)):
-            return self._refuse(claim, refuse_invariant_broken())
+            return self._settle_without_running(claim, refuse_invariant_broken())
         claim.phase = _Phase.RUNNING
         return [RunCall(claim.key, claim.attempt)]
 
     def _handle_existing_row(self, claim, row):
-        """Continue after an existing row was found, which may be this claim's own."""
+        """Decide the next actions by an existing row, which may be from this claim's own write."""
         record = unpack_record(row.data)
         if record.attempt == claim.attempt and record.state is RecordState.OPEN:
             return self._run(claim)
         self._registry.void(claim.attempt)
         if record.digest != claim.digest:
-            return self._refuse(claim, refuse_key_reused())
+            return self._settle_without_running(claim, refuse_key_reused())
         if record.state is RecordState.FINISHED:
             return self._settle_as_replay(claim, record.answer or refuse_not_kept())
         if record.state is RecordState.UNKNOWN:
@@ -338,40 +344,40 @@
             return self._settle_as_replay(claim, reply.result)
         if reply.state is OwnerState.VOIDED:
             return self._take_over(claim, claim.found_version)
-        return self._refuse(claim, OWNER_REFUSALS[reply.state])
+        return self._settle_without_running(claim, OWNER_REFUSALS[reply.state])
 
     def _take_over(self, claim, version):
         claim.takeovers += 1
         if claim.takeovers > _MAX_TAKEOVERS:
-            return self._refuse(claim, refuse_contended())
+            return self._settle_without_running(claim, refuse_contended())
         claim.is_known_not_run = True
         return self._write(claim, version)
 
     def _give_up(self, claim):
         """Void the attempt of a call whose claim is not held, then refuse the call."""
         if not self._invariants.holds("void_before_refusal", self._registry.void(claim.attempt)):
-            return self._refuse(claim, refuse_invariant_broken())
+            return self._settle_without_running(claim, refuse_invariant_broken())
         actions = []
         if claim.may_be_written:
-            record = self._record(claim)._replace(state=RecordState.VOIDED)
+            record = self._make_record(claim)._replace(state=RecordState.VOIDED)
             mark = MarkClaim(claim.key, record, claim.expected, self._random_version())
             actions.append(mark)
-        return self._refuse(claim, None) + actions
+        return self._settle_without_running(claim, None) + actions
 
-    def _refuse(self, claim, refusal):
+    def _settle_without_running(self, claim, result):
         del self._claims[claim.key]
-        return [self._refuse_one(claim, waiter, refusal) for waiter in claim.waiters]
+        return [self._settle_waiter(claim, waiter, result) for waiter in claim.waiters]
 
-    def _refuse_one(self, claim, waiter, refusal):
+    def _settle_waiter(self, claim, waiter, result):
         if isinstance(waiter.token, _PeerToken):
             return Settle(waiter.token.token, self._registry_reply(waiter.token.attempt))
-        result = refusal or refuse_unavailable(claim.is_known_not_run or waiter.is_first)
+        result = result or refuse_unavailable(claim.is_known_not_run or waiter.is_first)
         return Settle(waiter.token, result)
 
     def _settle_as_replay(self, claim, result):
         return [
             settle if isinstance(settle.result, OwnerReply) else settle._replace(is_replay=True)
-            for settle in self._refuse(claim, result)
+            for settle in self._settle_without_running(claim, result)
         ]
 
     def _settle(self, claim, result, now):
--- a/packages/core/src/camphorshelf_core/config.py
+++ b/packages/core/src/camphorshelf_core/config.py
@@ -73,7 +73,7 @@
 
 
 class Head(NamedTuple):
-    """The row that names the version in force; only this row is written by compare-and-set."""
+    """The row that names the version in force; only this row is replaced, by compare-and-set."""
 
     version: int
     digest: str
--- a/packages/core/src/camphorshelf_core/confirm.py
+++ b/packages/core/src/camphorshelf_core/confirm.py
@@ -1,11 +1,12 @@
-"""Plans, confirms and lists configuration versions as steps against the platform, without I/O.
+"""Makes, stores and confirms plans and lists configuration versions, without I/O.
 
 Each procedure is a generator: it yields an operation, is sent the operation's outcome and returns
 the result. A node runs it on its event loop; the tests interleave the steps of several procedures,
 with lost answers and writes that are applied late.
 
-Only the head row is written by compare-and-set, from one version to the next. The body is written
-before it, under its digest, so that the head never names a body that doesn't exist.
+The head row is the only row that is replaced, by compare-and-set from one version to the next;
+approvals are only inserted. The body is written before the head row, under its digest, so that the
+head never names a body that doesn't exist.
 """
 
 import re
@@ -145,7 +146,7 @@
     """Read a stored plan.
 
     :param plan_digest: the plan's digest.
-    :return: a generator that ends with :class:`StoredPlan` or a refusal.
+    :return: a generator that returns a :class:`StoredPlan` or a refusal.
     """
     try:
         return StoredPlan((yield from _read_plan(plan_digest)), plan_digest)
@@ -253,7 +254,7 @@
 
 
 def _record_approval(plan, plan_digest, operator):
-    """Store this team's approval and check those of other teams if the plan needs them."""
+    """Store the approval of the operator's team and check those of the other teams, if any."""
     others = [team for team in plan.confirmers if team != operator.team]
     if not others:
         return
@@ -306,7 +307,9 @@
             document = yield from _read_body(entry.digest)
     if entry.version == plan.base + 1 and entry.plan == plan_digest:
         return ConfirmResult(entry.version, head, data)
-    reason = f"version {head.version} is in force; the plan was made on {plan.base}: plan again"
+    reason = (
+        f"version {head.version} is in force; the plan was made on version {plan.base}: plan again"
+    )
     raise _RefusedError(Code.CONFLICT, reason)
 
 
--- a/packages/core/src/camphorshelf_core/intents.py
+++ b/packages/core/src/camphorshelf_core/intents.py
@@ -1,6 +1,7 @@
 """Parses operators' intents and applies them to the configuration.
 
-An intent is an object in the body of a plan request; it is parsed to one of the update types below.
+An intent is an object in the body of a plan request; it is parsed into one of the update types
+below.
 """
 
 from typing import Annotated, Literal, NamedTuple
@@ -82,8 +83,8 @@
     if not isinstance(raw, list) or not 0 < len(raw) <= MAX_INTENTS:
         return _refuse(f"intents: must be a list of 1 to {MAX_INTENTS} objects")
     updates = []
-    for number, one in enumerate(raw):
-        result = _parse_intent(f"intents.{number}", one)
+    for number, intent in enumerate(raw):
+        result = _parse_intent(f"intents.{number}", intent)
         if not isinstance(result, Success):
             return result
         updates.append(result.unwrap())
@@ -166,8 +167,10 @@
         if change.after == TAKE:
             del domains[change.name]
         return config._replace(domains=domains)
-    table = _CONFIG_FIELDS[change.field]
-    return config._replace(**{table: {**getattr(config, table), change.name: change.after}})
+    config_field = _CONFIG_FIELDS[change.field]
+    return config._replace(
+        **{config_field: {**getattr(config, config_field), change.name: change.after}}
+    )
 
 
 _CONFIG_FIELDS = {
@@ -189,13 +192,13 @@
 
 
 _UPDATE_FACTORIES = {
-    "owner": lambda one: OwnerUpdate(one.service, one.after),
-    "share": lambda one: ShareUpdate(one.service, one.name, one.after),
-    "idempotent": lambda one: MethodUpdate(one.service, one.name, idempotent=one.after),
-    "class": lambda one: MethodUpdate(one.service, one.name, request_class=one.after),
-    "domain": lambda one: DomainUpdate(one.service, one.name, one.after),
-    "state": lambda one: TargetUpdate(one.service, one.name, state=one.after),
-    "weight": lambda one: TargetUpdate(one.service, one.name, weight=one.after),
+    "owner": lambda change: OwnerUpdate(change.service, change.after),
+    "share": lambda change: ShareUpdate(change.service, change.name, change.after),
+    "idempotent": lambda change: MethodUpdate(change.service, change.name, idempotent=change.after),
+    "class": lambda change: MethodUpdate(change.service, change.name, request_class=change.after),
+    "domain": lambda change: DomainUpdate(change.service, change.name, change.after),
+    "state": lambda change: TargetUpdate(change.service, change.name, state=change.after),
+    "weight": lambda change: TargetUpdate(change.service, change.name, weight=change.after),
 }
 
 
--- a/packages/core/src/camphorshelf_core/placement.py
+++ b/packages/core/src/camphorshelf_core/placement.py
@@ -10,9 +10,10 @@
 
 # Relative slowdown assumed for a full target, so that every target keeps free slots for a burst.
 _FULL_TARGET_SLOWDOWN = 0.2
-# Factor on the time of a target that has just started; its node reports for how long.
+# Relative slowdown assumed for a target that has just started, for as long as its node reports.
 _WARM_UP_SLOWDOWN = 2.0
-# A failed request costs its caller the answer, or a retry and the time of both attempts.
+# Weight of the failure ratio in a target's cost: a failed request costs its caller the answer, or
+# a retry and the time of both attempts.
 _FAILURE_WEIGHT = 4.0
 # A target that fails this share of its requests or more is used only if no healthy one is left.
 MAX_FAILURE_SHARE = 0.5
@@ -28,7 +29,7 @@
 _DEFAULT_SLOWNESS = 1.0
 _COST_ROUNDING_FACTOR = 1.5
 _MIN_COST_SECONDS = 0.001
-# Free slots, in addition to the one for the request, required at a target that pushes its load.
+# A target that pushes its load has room only if this many slots stay free beside the request's.
 _SPARE_SLOTS = 1
 
 
@@ -88,7 +89,8 @@
     # for its timeout while a healthy target is available.
     for group in (healthy, unhealthy):
         group.sort(key=_by_cost)
-    # Fresh candidates first: a target known to be good saves probing one that may be better.
+    # Candidates with a fresh load come first: choosing a target that is known to be good saves
+    # probing another that may be better.
     local.sort(key=_by_freshness)
     return local + healthy + unhealthy
 
--- a/packages/core/src/camphorshelf_core/retry.py
+++ b/packages/core/src/camphorshelf_core/retry.py
@@ -53,7 +53,7 @@
         return self._tokens < 1
 
     def record_call(self):
-        """Count the first attempt of a call.
+        """Count the first attempt of a call, which adds ``share`` tokens to the bucket.
 
         :return: None.
         """
--- a/packages/core/src/camphorshelf_core/retrybudget.py
+++ b/packages/core/src/camphorshelf_core/retrybudget.py
@@ -86,32 +86,34 @@
         self._ratio = limits.ratio * _RATIO_SHARE * share
         self._slack = limits.slack * _SLACK_SHARE * share
         self._window_s = limits.window_s
-        self._from_requests = 0.0
-        # A new node starts with its whole part of the slack, to which advance() limits this value:
-        # it retries no more callers than any other node, and even if all nodes start at once the
-        # total stays within the limits.
-        self._from_time = self._slack
+        self._request_tokens = 0.0
+        # A new node starts with its whole part of the slack; advance() lowers this value to that
+        # part. The node can send no more retries than any other, and even if all nodes start at
+        # once the total stays within the limits.
+        self._time_tokens = self._slack
         self._updated_at = now
 
     def record_request(self):
-        self._from_requests += self._ratio
+        self._request_tokens += self._ratio
 
     def try_spend(self, random):
-        available = self._from_requests + self._from_time
+        available = self._request_tokens + self._time_tokens
         if available >= 1:
-            from_requests = min(1.0, self._from_requests)
-            self._from_requests -= from_requests
-            self._from_time -= 1 - from_requests
+            from_requests = min(1.0, self._request_tokens)
+            self._request_tokens -= from_requests
+            self._time_tokens -= 1 - from_requests
             return True
         # In a large system a node rarely holds a whole token. It then takes one with a probability
         # equal to the fraction it holds, and gives the fraction up either way: on average, all
         # nodes together take as many tokens as they hold.
-        self._from_requests = self._from_time = 0.0
+        self._request_tokens = self._time_tokens = 0.0
         return random.random() < available
 
     def advance(self, now, nodes):
         elapsed_s = now - self._updated_at
         self._updated_at = now
-        self._from_requests *= math.exp(-elapsed_s / _TOKEN_DECAY_SECONDS)
+        self._request_tokens *= math.exp(-elapsed_s / _TOKEN_DECAY_SECONDS)
         node_slack = self._slack / nodes
-        self._from_time = min(node_slack, self._from_time + node_slack * elapsed_s / self._window_s)
+        self._time_tokens = min(
+            node_slack, self._time_tokens + node_slack * elapsed_s / self._window_s
+        )
--- a/packages/core/src/camphorshelf_core/routing.py
+++ b/packages/core/src/camphorshelf_core/routing.py
@@ -33,7 +33,8 @@
     calls at the target, ``others_in_flight`` those of other nodes. ``overdue`` counts this node's
     calls that take longer than expected. ``weight`` is the share of its slots that the target
     should use: the configured weight times the ramp after a start or return. ``failure_share`` is
-    the share of failures among its recent answers.
+    the share of failures among its recent answers. ``reported_calls`` counts the calls that the
+    target's last report gives as in flight or queued.
     """
 
     target: str
@@ -42,7 +43,7 @@
     slots: int
     own_in_flight: int = 0
     others_in_flight: float = 0.0
-    reported: int = 0
+    reported_calls: int = 0
     report_age: float | None = None
     reported_latency_ms: float | None = None
     own_latency_ms: float | None = None
@@ -55,7 +56,10 @@
 
 
 class Choice(NamedTuple):
-    """The selected target, its score and why it was selected; times are in milliseconds."""
+    """The selected target, its score and why it was selected; times are in milliseconds.
+
+    ``expected_ms`` is the median latency of the service's targets.
+    """
 
     candidate: Candidate
     score: float
@@ -104,24 +108,24 @@
     return choose
 
 
-def sample_targets(known, failure_domain, count, random):
-    """Sample targets at random, up to half of them from the own failure domain.
+def sample_targets(targets, failure_domain, count, random):
+    """Sample targets at random, up to half of them from the node's own failure domain.
 
     Local targets are considered for every call, and remote ones often enough to receive calls
     before the local ones are full.
 
-    :param known: candidates or members.
+    :param targets: candidates or members.
     :param failure_domain: the entry node's own failure domain.
     :param count: the number of targets to sample.
     :param random: a ``random.Random``.
     :return: a new list.
     """
-    if len(known) <= count:
-        return list(known)
-    local = [candidate for candidate in known if candidate.failure_domain == failure_domain]
+    if len(targets) <= count:
+        return list(targets)
+    local = [target for target in targets if target.failure_domain == failure_domain]
     sampled = random.sample(local, min(len(local), count // 2))
     sampled_ids = set(map(id, sampled))
-    rest = [candidate for candidate in known if id(candidate) not in sampled_ids]
+    rest = [target for target in targets if id(target) not in sampled_ids]
     return sampled + random.sample(rest, count - len(sampled))
 
 
--- a/packages/core/src/camphorshelf_core/spill.py
+++ b/packages/core/src/camphorshelf_core/spill.py
@@ -6,16 +6,16 @@
 """
 
 _SMOOTHING = 0.1
-_INITIAL_MS = 1.0
-# A spill always costs a round trip, and the next target may be full as well.
-_WAIT_FACTOR = 1.5
+_INITIAL_ROUND_TRIP_MS = 1.0
+# More than one, because a spill always costs a round trip and the next target may be full as well.
+_MAX_WAIT_ROUND_TRIPS = 1.5
 
 
 class RoundTripEstimate:
     """The smoothed round-trip time to other nodes."""
 
     def __init__(self):
-        self._milliseconds = _INITIAL_MS
+        self._milliseconds = _INITIAL_ROUND_TRIP_MS
 
     @property
     def milliseconds(self):
@@ -25,7 +25,7 @@
     @property
     def longest_wait_ms(self):
         """How long a call may wait for a slot before it is spilled, in milliseconds."""
-        return self._milliseconds * _WAIT_FACTOR
+        return self._milliseconds * _MAX_WAIT_ROUND_TRIPS
 
     def record(self, milliseconds):
         """Record the round-trip time of a message that was answered without waiting.
--- a/packages/core/src/camphorshelf_core/tickets.py
+++ b/packages/core/src/camphorshelf_core/tickets.py
@@ -70,10 +70,11 @@
 class TicketStore:
     """The tickets that one process has minted, within a limit.
 
-    Ticket numbers only increase, and a call whose ticket was minted but has no record any more
-    never runs: dropping a record may cost the caller its answer but never causes a second run.
-    The clock only decides when an idle record may be dropped, so a wrong clock does no harm. The
-    record of a running call is never dropped, and no tickets are minted while the store is full.
+    Ticket numbers only increase, and a call whose ticket has been minted but whose record has been
+    dropped never runs: dropping a record may cost the caller its answer but never causes a second
+    run. The clock only decides when an idle record may be dropped, so a wrong clock does no harm.
+    The record of a running call is never dropped, and no tickets are minted while the store is
+    full.
     """
 
     def __init__(self, settings, node, incarnation, secret, invariants):
@@ -185,7 +186,10 @@
         self._records.move_to_end(number)
 
     def _drop_old_records(self, now):
-        """Drop finished and old unused records, longest unchanged first, to meet the limits."""
+        """Drop records that exceed the limits on age and total size, least recently changed first.
+
+        A record of an unused ticket is dropped only for its age; that of a running call never is.
+        """
         max_age_s = self._settings.ticket_age_ms / 1000
         remaining_bytes = self._bytes
         dropped = []
--- a/packages/core/src/camphorshelf_core/versions.py
+++ b/packages/core/src/camphorshelf_core/versions.py
@@ -38,7 +38,11 @@
 
 
 class LocalVersion:
-    """The version in force at one node, and whether it is proved to be current."""
+    """The version in force at one node, and whether it is proved to be current.
+
+    ``violations`` counts the reports of another digest for the version in force; ``rejected``
+    counts the bodies that were corrupt or had a wrong digest.
+    """
 
     def __init__(self, settings, now):
         self._settings = settings
@@ -62,7 +66,7 @@
 
     @property
     def version(self):
-        """The version in force."""
+        """The number of the version in force."""
         return self._document.version
 
     @property
--- a/packages/node/src/camphorshelf_node/descriptions.py
+++ b/packages/node/src/camphorshelf_node/descriptions.py
@@ -20,7 +20,7 @@
         "known": True,
         "failure_domain": candidate.failure_domain,
         "slots": candidate.slots,
-        "in_flight": candidate.reported,
+        "in_flight": candidate.reported_calls,
         "leaving": candidate.leaving,
     }
 
--- a/packages/node/src/camphorshelf_node/load.py
+++ b/packages/node/src/camphorshelf_node/load.py
@@ -176,7 +176,7 @@
             slots=report.slots if report and report.slots else member.target.slots,
             own_in_flight=view.own_in_flight,
             others_in_flight=view.others_in_flight,
-            reported=report.in_flight + report.queued if report else 0,
+            reported_calls=report.in_flight + report.queued if report else 0,
             report_age=view.report_age(now),
             reported_latency_ms=report.latency_ms if report else None,
             own_latency_ms=own[0] if own else None,
--- a/tests/soak/claims_mutants.py
+++ b/tests/soak/claims_mutants.py
@@ -55,9 +55,9 @@
 class SayNotRunUnproven(ClaimTracker):
     """Says NOT_RUN for a key when the table cannot tell of earlier requests."""
 
-    def _refuse_one(self, claim, waiter, refusal):
+    def _settle_waiter(self, claim, waiter, refusal):
         claim.is_known_not_run = True
-        return super()._refuse_one(claim, waiter, refusal)
+        return super()._settle_waiter(claim, waiter, refusal)
 
 
 class KeepProof(ClaimTracker):
