--- a/packages/core/src/camphorshelf_core/effects.py
+++ b/packages/core/src/camphorshelf_core/effects.py
@@ -58,24 +58,24 @@
     if (count_before, slots_before) == (count_after, slots_after):
         return
     yield (
-        f"{service}: {count_before} of {len(targets)} targets take calls now "
+        f"{service}: {count_before} of {len(targets)} targets take work now "
         f"({slots_before:g} weighted slots), {count_after} will ({slots_after:g})"
     )
     if not count_after:
-        yield f"{service}: WARNING: no target takes calls; every call will be refused"
+        yield f"{service}: WARNING: no target takes work; every call will be refused"
     elif slots_after < slots_before:
         more = 100 * (slots_before / slots_after - 1)
         yield f"{service}: the targets that stay carry {more:.0f}% more each"
 
 
 _TEMPLATES = {
-    "owner": "{service}: the owner changes from {before} to {after}",
-    "idempotent": "{service}: idempotent will be {after} for method {name}",
+    "owner": "{service}: handed from {before} to {after}",
+    "idempotent": "{service}: {name} counts as idempotent: {after}",
     "class": "{service}: {name} calls are {after}",
     "share": "{service}: {name} may hold {after} of 100 slots (before: {before})",
     "state": "{service}: {name} will {after} (before: {before})",
     "domain": "{service}: its targets in failure domain {name} will {after} (before: {before})",
-    "weight": "{service}: {name} will have weight {after} of 100 (before: {before})",
+    "weight": "{service}: {name} carries weight {after} of 100 (before: {before})",
 }
 
 
