--- a/tests/features/admission.feature
+++ b/tests/features/admission.feature
@@ -1,121 +1,121 @@
-Feature: What a target's node lets in, queues and refuses
+Feature: Which calls a target's node admits, queues and refuses
 
-  Each load is played against one gate with ten slots on a clock of its own, with our policy and
-  with one part of it swapped for the baseline.
+  Each load is simulated against one admission gate with ten slots on a simulated clock, with our
+  policy, and again with one part of the policy replaced by the baseline's.
 
-  Scenario: A burst of five calls a slot is absorbed and the rest told at once
-    # Eighty clerks ask in the same moment. Ten run, forty wait their turn, and thirty are told
-    # within that moment to go elsewhere: a longer queue would only make them late.
+  Scenario: A burst of up to five calls per slot is admitted and the rest is refused at once
+    # 80 calls arrive at the same time: 10 run, 40 are queued and 30 are refused immediately, as
+    # a longer queue would only make them late.
     Given a burst of 80 lookups of 5 ms
-    When it is played with our policy
-    Then 50 calls are served and 30 are refused in the moment they came
-    When it is played with the baseline policy
+    When it is simulated with our policy
+    Then 50 calls are served and 30 are refused on arrival
+    When it is simulated with the baseline policy
     Then at least 15 calls fewer are served
 
   Scenario: One caller that sends most of the load does not crowd out the others
-    # One caller sends nineteen of twenty calls, twice what fits. The other twenty callers stay
-    # far below their share and must not feel it.
+    # One caller sends 19 of 20 calls, and the load is twice the capacity. The other 20 callers stay
+    # far below their fair share and must not be slowed down or refused.
     Given a skewed load of one heavy caller and 20 light ones
-    When it is played with our policy
+    When it is simulated with our policy
     Then every call of the light callers is served, 99 in 100 within 12 ms
-    When it is played with the queue swapped for the baseline
+    When it is simulated with the queue replaced by the baseline
     Then at least a third of the calls of the light callers is refused
 
   Scenario: A team of many callers gets no more than a team of one
-    # Fairness by caller alone would give fifty callers of one team fifty shares.
+    # Fairness per caller alone would give the 50 callers of one team 50 shares.
     Given equal floods by a team of 50 callers and by a team of one
-    When it is played with our policy
-    Then both teams are served alike within 5 in 100
+    When it is simulated with our policy
+    Then both teams are served equally within 5 in 100
 
-  Scenario: A team's weight is its part of the target
+  Scenario: A team's weight sets its share of the target
     Given equal floods by a team of 50 callers and by a team of one
-    When it is played with our policy and weight 3 for the team of one
+    When it is simulated with our policy and weight 3 for the team of one
     Then the team of one is served between 2 and 4 times as often
 
   Scenario: Lookups do not wait behind long calls
-    # Reports of 200 ms, twice what fits, run beside lookups of 2 ms. With all ten slots taken
-    # by reports a lookup would wait some 20 ms for each slot; two slots are kept from them.
+    # Reports of 200 ms, twice the capacity, run along with lookups of 2 ms. If reports took all ten
+    # slots, a lookup would wait about 20 ms for a slot; so two slots are reserved for short calls.
     Given reports of 200 ms among lookups of 2 ms
-    When it is played with our policy
+    When it is simulated with our policy
     Then at least 95 in 100 lookups are served, 99 in 100 of them within 20 ms
-    When it is played with the reserve swapped for the baseline
+    When it is simulated with the reserve replaced by the baseline
     Then fewer than 90 in 100 lookups are served
 
   Scenario: A flood of reorders does not delay lookups
     Given a flood of reorders beside lookups
-    When it is played with our policy
+    When it is simulated with our policy
     Then at least 99 in 100 lookups are served, 99 in 100 of them within 15 ms
-    When it is played with the classes swapped for the baseline
+    When it is simulated with the classes replaced by the baseline
     Then fewer than 95 in 100 lookups are served
 
   Scenario: A flood of lookups does not starve reorders
-    # Lookups come first and would take everything: one start in five is a reorder's.
+    # Lookups have priority and would take all slots: one start in five is reserved for reorders.
     Given a flood of lookups beside reorders
-    When it is played with our policy
+    When it is simulated with our policy
     Then between 15 and 30 in 100 of the calls served are reorders
     And no reorder waited longer than 500 ms for its answer
 
-  Scenario: A standing queue does not build
-    # Twice what fits, for two seconds. A queue that stays full adds its whole length to every
-    # answer and serves nobody more.
-    Given twice the load that fits
-    When it is played with our policy
+  Scenario: Sustained overload does not build a standing queue
+    # Twice the capacity for two seconds. A queue that stays full adds its whole length to every
+    # answer time without raising throughput.
+    Given a load of twice the capacity
+    When it is simulated with our policy
     Then the target is never idle and 99 in 100 answers come within 16 ms
-    When it is played with the sojourn swapped for the baseline
+    When it is simulated with the sojourn replaced by the baseline
     Then 99 in 100 answers come only within 30 ms or more
 
-  Scenario: Work that cannot make its deadline does not start
-    # Callers wait 12 ms for calls of 5 ms, under twice the load that fits. A call that starts
-    # too late takes a slot and answers nobody.
-    Given twice the load that fits with a deadline of 12 ms
-    When it is played with our policy
+  Scenario: A call that cannot meet its deadline is not started
+    # Calls of 5 ms with a deadline of 12 ms, at twice the capacity. A call that starts too late
+    # occupies a slot for an answer that nobody waits for any more.
+    Given a load of twice the capacity with a deadline of 12 ms
+    When it is simulated with our policy
     Then the target is never idle and every answer is in time
-    When it is played with the deadline_check swapped for the baseline
+    When it is simulated with the deadline_check replaced by the baseline
     Then at least 15 in 100 answers are late
 
-  Scenario: One slow minute does not shut the gate for ever
-    # Calls took 500 ms for a while, so the smoothed time says that none of 100 ms can be met.
-    # Were all refused for that, no call would ever run and show that the target has recovered.
+  Scenario: A slow period does not make the gate refuse all calls for good
+    # After a period of calls of 500 ms the smoothed work time predicts that no deadline of 100 ms
+    # can be met. If all calls were refused for that, none would show that the target has recovered.
     Given calls of 500 ms and then calls of 5 ms with a deadline of 100 ms
-    When it is played with our policy
+    When it is simulated with our policy
     Then the last 20 calls are served
 
-  Scenario: Fewer calls run at once while a neighbour takes the processor
-    # For two seconds the target has 3 of its 10 cores. Ten calls at once would each take three
-    # times as long; fewer finish as many a second, each one sooner.
-    Given a neighbour that takes 7 of 10 cores for two seconds
-    When it is played with our policy
-    Then under the neighbour 99 in 100 answers come within 70 ms
-    And a second after the neighbour is gone every call is served again
-    When it is played with the limit swapped for the baseline
-    Then under the neighbour 99 in 100 answers come only within 90 ms or more
-
-  Scenario: A target that waits for something slow keeps its slots
-    # Each call takes three times as long whatever the number of calls: to run fewer would only
-    # lose throughput, so the cut is undone.
+  Scenario: Fewer calls run at once while another process uses the processor
+    # For two seconds the target has 3 of its 10 cores. Ten concurrent calls would each take three
+    # times as long; fewer give the same throughput with shorter answer times.
+    Given another process that uses 7 of 10 cores for two seconds
+    When it is simulated with our policy
+    Then during the contention 99 in 100 answers come within 70 ms
+    And a second after the contention ends every call is served again
+    When it is simulated with the limit replaced by the baseline
+    Then during the contention 99 in 100 answers come only within 90 ms or more
+
+  Scenario: A target that waits for a slow dependency keeps its concurrency limit
+    # Each call takes three times as long at any concurrency: a lower limit would only cost
+    # throughput, so the reduction is reverted.
     Given a target that waits three times as long for a slow store
-    When it is played with our policy
-    Then it serves at least 9 in 10 of what the baseline serves
+    When it is simulated with our policy
+    Then it serves at least 9 in 10 of the calls that the baseline serves
 
-  Scenario: A target that turns calls away gets fewer at once
+  Scenario: A target that sheds load gets fewer concurrent calls
     Given a gate with 10 slots
     When the target sheds load in two windows
     Then at most 5 calls run at once
     And after 20 windows without it 10 calls run at once
 
-  Scenario: Refused callers do not come back together
-    # Two hundred calls come in one moment. With one fixed Retry-After the 150 that are refused
-    # would all be back in the same moment and be refused again, for ever.
+  Scenario: Refused callers do not retry at the same time
+    # 200 calls arrive at the same time. With a fixed Retry-After the 150 refused calls would all be
+    # retried at the same time and be refused again, without end.
     Given a burst of 200 lookups of 5 ms
-    When it is played with our policy and the refused come back when they were told
-    Then at most 1 call in 10 that came back is refused again
+    When it is simulated with our policy and refused calls are retried after their Retry-After
+    Then at most 1 in 10 retried calls is refused again
 
-  Scenario: Any order of events leaves the counts exact
-    # Calls are offered, finished, cancelled and expired; the target announces other slots,
-    # leaves and returns. Each call gets one answer and no slot is lost or given twice.
-    When 150 random histories of a gate are played
+  Scenario: The counters stay exact in any order of events
+    # Calls are offered, finished, cancelled and expire; the target announces other slot counts,
+    # leaves and returns. Each call gets one answer and no slot is lost or assigned twice.
+    When 150 random histories of a gate are run
 
-  Scenario: A gate with a broken count refuses
+  Scenario: A gate with an inconsistent slot count refuses calls
     Given a gate with 10 slots
-    When a call gives its slot back twice
+    When a call releases its slot twice
     Then the next call is refused with code GATE_BROKEN
--- a/tests/features/claims_model.feature
+++ b/tests/features/claims_model.feature
@@ -1,13 +1,13 @@
-Feature: The protocol of claims holds in every order of events
+Feature: The claim protocol keeps its invariants in every order of events
 
   Scenario: Every order of two sends, with lost and late messages and a crash
-    # From an empty table, and from a claim that an earlier refused send left void.
-    When the model of claims is checked exhaustively
+    # Starts from an empty table, and from a claim that was voided when an earlier send was refused.
+    When the claim protocol's model is checked exhaustively
     Then its 3 properties hold in all of its states
 
-  Scenario Outline: A safeguard left out of the model is found
-    When the model of claims is checked without its safeguard: <mutant>
-    Then a shortest trace shows what goes wrong
+  Scenario Outline: The model checker finds a removed safeguard
+    When the claim protocol's model is checked without its safeguard: <mutant>
+    Then a shortest trace shows the violation
 
     Examples:
       | mutant                      |
@@ -21,14 +21,14 @@
       | overwrite_without_comparing |
       | forgotten_is_void           |
 
-  Scenario: Random runs of the code itself
-    # The claim books that the node runs, with a fake clock, table, network and target: loss,
-    # delay, reordering, kills and pauses. The same examples each time.
-    When the claim books run 150 random examples
-    Then no invariant of theirs is broken
+  Scenario: Random runs of the code keep every invariant
+    # The claim trackers of the nodes run with a fake clock, table, network and target, under loss,
+    # delay, reordering, kills and pauses. The random examples are the same each time.
+    When the claim trackers run 150 random examples
+    Then none of their invariants is broken
 
-  Scenario Outline: A safeguard left out of the code is found by random runs
-    When the claim books run random examples without their safeguard: <mutant>
+  Scenario Outline: Random runs find a safeguard removed from the code
+    When the claim trackers run random examples without their safeguard: <mutant>
     Then an assertion fails
 
     Examples:
@@ -40,14 +40,15 @@
       | IgnoreDigest      |
       | UnknownIsVoid     |
 
-  Scenario: The claim of an owner that died is not taken over
-    # The owner dispatches the call and dies before it can say so. Its claim is still open. A
-    # resend through another node finds it; were it taken over, the call would run twice.
-    When the owner of a running call dies and its key is sent to another node
-    Then the call has run once, and twice if the safeguard is left out
+  Scenario: The claim of an owner that crashed is not taken over
+    # The owner dispatches the call and crashes before it records that. Its claim is still open. The
+    # caller sends the key again through another node: if that took the claim over, the call would
+    # run twice.
+    When the owner of a running call is killed and its key is sent to another node
+    Then the call has run once, and twice if the safeguard is removed
 
-  Scenario: What was learnt before a waiter came proves nothing to it
-    # A claim of a void key is being taken over. Another node takes it over first and runs it.
-    # Only then does a second caller join the first claim, whose answers are all lost.
+  Scenario: A read from before a waiter joined does not prove that its call has not run
+    # A node takes over a void claim. Another node takes it over first and runs the call. Only then
+    # does a second caller join the first node's attempt, to which all answers are lost.
     When a waiter joins a takeover that another node has won and run
-    Then the waiter is told OUTCOME_UNKNOWN, and NOT_RUN if the safeguard is left out
+    Then the waiter is told OUTCOME_UNKNOWN, and NOT_RUN if the safeguard is removed
--- a/tests/features/environment.py
+++ b/tests/features/environment.py
@@ -1,4 +1,4 @@
-"""Shared fixtures of the features."""
+"""Fixtures that several features share."""
 
 from behave import fixture, use_fixture
 
@@ -36,7 +36,7 @@
 
 @fixture
 def edge_deployment(context):
-    """The same with one slot for ``orders`` and a node that takes few callers."""
+    """The small deployment with one slot for ``orders`` and five caller connections at b1."""
     return _start(context, _EDGE)
 
 
@@ -77,7 +77,10 @@
 
 @fixture
 def owned_deployment(context):
-    """Three nodes in three failure domains; team flock owns counter, and paper knows itself."""
+    """Three nodes in three failure domains.
+
+    Team flock owns ``counter`` and may take ``orders``; the services of team paper have no target.
+    """
     deployment = Deployment(_OWNED)
     context.add_cleanup(deployment.close)
     for name in deployment.nodes:
@@ -90,7 +93,7 @@
 
 @fixture
 def platform(context):
-    """A platform alone, and its client in the test's own process."""
+    """The platform stand-in without nodes, and its client in the test process."""
     context.platform = Deployment(())
     context.add_cleanup(context.platform.close)
     context.inner = InnerLoop()
@@ -128,7 +131,7 @@
 
 @fixture
 def relay_deployment(context):
-    """Three hosts on the users' platform, with a usual configuration."""
+    """Three hosts on the users' platform, with a typical configuration."""
     deployment = RelayDeployment(_RELAYS, make_document(7))
     context.add_cleanup(deployment.close)
     deployment.wait_ready()
@@ -150,7 +153,7 @@
 
 
 def before_scenario(context, scenario):
-    """Give each scenario that changes the platform a fresh one."""
+    """Set up the fixtures that are started anew for each scenario."""
     if "fixture.owned_deployment" in scenario.effective_tags:
         use_fixture(owned_deployment, context)
     if "fixture.fresh_relay_deployment" in scenario.effective_tags:
--- a/tests/features/steps/administration_steps.py
+++ b/tests/features/steps/administration_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the administration API and the operators' program."""
+"""Steps about the administration API and the command-line client."""
 
 import json
 import os
@@ -31,7 +31,7 @@
     "orders belongs to paper": {"service": "orders", "owner": "paper"},
     "counter belongs to paper": {"service": "counter", "owner": "paper"},
 }
-_BAD_INTENTS = (
+_INVALID_INTENTS = (
     ([], "intents"),
     ("leave", "intents"),
     ([1], "intents.0"),
@@ -47,7 +47,7 @@
     ([{"service": "counter", "method": "post", "idempotent": True}], "intents.0.method"),
 )
 _HEAD = b"POST /v1/plans HTTP/1.1\r\nHost: n\r\nAuthorization: Bearer token-of-flock\r\n"
-_ODD_REQUESTS = (
+_MALFORMED_REQUESTS = (
     (_HEAD + b"Content-Length: 2\r\nContent-Length: 3\r\n\r\n{}", 412),
     (_HEAD + b"Content-Length: -1\r\n\r\n", 412),
     (_HEAD + b"Content-Length: 1e3\r\n\r\n", 412),
@@ -62,16 +62,16 @@
 )
 
 
-@when("somebody {how} a token asks for each resource")
-@when("somebody with a {how} token asks for each resource")
-def ask_all(context, how):
+@when("a client {how} a token requests each resource")
+@when("a client with a {how} token requests each resource")
+def request_all(context, how):
     address = context.deployment.nodes["a1"].admin
     headers = (("Authorization", "Bearer nonsense"),) if how == "wrong" else ()
     context.answers = [call(address, method, "n", path, headers) for method, path in _PATHS]
 
 
-@then("each is answered 401 and tells nothing else")
-def check_nothing_told(context):
+@then("each is answered with 401 and discloses nothing else")
+def check_nothing_disclosed(context):
     bodies = {(answer.status, answer.body) for answer in context.answers}
     assert len(bodies) == 1, bodies
     status, body = bodies.pop()
@@ -81,7 +81,7 @@
 
 @when("{team} plans at {node} that {intent}")
 @given("{team} has planned at {node} that {intent}")
-def plan_intent(context, team, node, intent):
+def plan_change(context, team, node, intent):
     context.reply = plan(context.deployment, node, team, _INTENTS[intent])
     if context.reply[0] == 201:
         context.planned = context.reply[1]
@@ -103,31 +103,31 @@
         )
 
 
-@then('the plan tells base {base:d}, one change and "{sentence}"')
+@then('the plan has base version {base:d}, one change and "{sentence}"')
 def check_plan(context, base, sentence):
     status, document = context.reply
     assert (status, document["base"], len(document["changes"])) == (201, base, 1), document
     assert any(sentence in line for line in document["effect"]), document
 
 
-@then("version {version:d} is still in force and counter/b1 takes work")
+@then("version {version:d} is still in force and counter/b1 accepts calls")
 def check_not_changed(context, version):
     assert version_at(context.deployment, "a1") == version
-    # Routing may keep off a target for a moment whose first answer was slow; one that were taken
-    # out by the plan alone would never be seen.
-    context.deployment.wait_until(lambda: _targets_seen(context) == {"a1", "b1"})
+    # Routing may avoid a target for a moment after a slow first answer; a target that the
+    # unconfirmed plan had removed would never get a call.
+    context.deployment.wait_until(lambda: _called_targets(context) == {"a1", "b1"})
 
 
-@then("the confirm says version {version:d}")
+@then("the confirmation reports version {version:d}")
 def check_confirmed(context, version):
     status, document = context.reply
     assert (status, document.get("version")) == (200, version), document
 
 
-@then("version {version:d} comes into force everywhere and counter/b1 takes no work")
+@then("version {version:d} comes into force everywhere and counter/b1 gets no calls")
 def check_changed(context, version):
     wait_version(context.deployment, context.deployment.nodes, version)
-    assert _targets_seen(context) == {"a1"}
+    assert _called_targets(context) == {"a1"}
 
 
 @then("version {version:d} is the newest")
@@ -141,7 +141,7 @@
     assert (context.reply[0], context.reply[1].get("code")) == (status, code), context.reply
 
 
-@then("paper's status at a1 tells no service of flock")
+@then("paper's status at a1 shows no service of flock")
 def check_status_scope(context):
     assert ask(context.deployment, "a1", "GET", "/v1/status", "paper")[1]["services"] == {}
 
@@ -159,33 +159,33 @@
     assert (version["changes"], version["hidden_changes"], version["plan"]) == ([], 1, None)
 
 
-@when("flock plans at a1 each of the bad intents")
-def plan_bad_intents(context):
+@when("flock plans at a1 each of the invalid intents")
+def plan_invalid_intents(context):
     context.replies = [
         (field, ask(context.deployment, "a1", "POST", "/v1/plans", "flock", {"intents": intents}))
-        for intents, field in _BAD_INTENTS
+        for intents, field in _INVALID_INTENTS
     ]
 
 
 @then("each is refused with 400 and code 403 and names its field")
-def check_bad_intents(context):
+def check_invalid_intents(context):
     for field, (status, document) in context.replies:
         assert (status, document["code"]) == (400, 403), (field, document)
         assert document["error"].startswith(field + ":"), (field, document)
 
 
-@when("each odd request is sent to the administration listener of a1")
-def send_odd_requests(context):
-    context.odd = []
-    for raw, code in _ODD_REQUESTS:
+@when("each malformed request is sent to the administration listener of a1")
+def send_malformed_requests(context):
+    context.malformed = []
+    for raw, code in _MALFORMED_REQUESTS:
         caller = Caller(context.deployment.nodes["a1"].admin)
         caller.send(raw)
-        context.odd.append((raw, code, caller.read(), caller))
+        context.malformed.append((raw, code, caller.read(), caller))
 
 
-@then("each is refused as the table of odd requests says")
-def check_odd_requests(context):
-    for raw, code, answer, caller in context.odd:
+@then("each is refused with its expected code")
+def check_malformed_requests(context):
+    for raw, code, answer, caller in context.malformed:
         assert json.loads(answer.body)["code"] == code, (raw[:200], answer)
         assert caller.at_end()
         caller.close()
@@ -196,11 +196,11 @@
     assert ask(context.deployment, "a1", "GET", "/v1/status", "flock")[0] == 200
 
 
-@then("{team} {told} told by a1 why the call went to its target")
-def check_explained(context, team, told):
+@then("{team} {verb} told by a1 why the call went to its target")
+def check_explained(context, team, verb):
     call_id = context.answer.headers["camphorshelf-call"]
     status, document = ask(context.deployment, "a1", "GET", f"/v1/explain/{call_id}", team)
-    if told == "is not":
+    if verb == "is not":
         assert (status, document["code"]) == (404, 415), document
         return
     target = context.answer.body.split()[0].decode()
@@ -235,15 +235,15 @@
 
 
 @when("flock runs camphorshelf status at a port where nothing listens")
-def run_nowhere(context):
+def run_unreachable(context):
     _run_at("127.0.0.1:1", context, "flock", "status")
 
 
-@then('it exits {code:d} and says "{text}"')
+@then('it exits {code:d} and prints "{text}"')
 def check_run(context, code, text):
-    said = context.run.stdout + context.run.stderr
-    assert context.run.returncode == code, (context.run.returncode, said)
-    assert text in said and "Traceback" not in said, said
+    output = context.run.stdout + context.run.stderr
+    assert context.run.returncode == code, (context.run.returncode, output)
+    assert text in output and "Traceback" not in output, output
 
 
 @then("it exits 0 and its output is JSON with version {version:d}")
@@ -251,7 +251,7 @@
     assert json.loads(context.run.stdout)["version"] == version
 
 
-def _targets_seen(context):
+def _called_targets(context):
     address = context.deployment.nodes["c1"].callers
     return {call(address, "GET", "counter", "/").body.split()[0].decode() for _ in range(40)}
 
--- a/tests/features/steps/admission_queue_steps.py
+++ b/tests/features/steps/admission_queue_steps.py
@@ -1,4 +1,4 @@
-"""Steps that offer work to a target on a clock of their own."""
+"""Steps that offer requests to a target's admission queue on a simulated clock."""
 
 import heapq
 
@@ -13,7 +13,10 @@
 
 
 class Play:
-    """A target that works on what its queue admits, with a clock that only this moves."""
+    """Simulates a target that runs the requests its admission queue admits.
+
+    The clock advances only by :meth:`advance`.
+    """
 
     def __init__(self, slots):
         self.now = 0.0
@@ -24,7 +27,7 @@
         self.rejected = []
         self.finished = []
         self.busy_s = 0.0
-        # Whether each request takes its own time.
+        # Whether requests differ in how long they take.
         self.is_mixed = False
         self._ends = []
 
@@ -54,14 +57,14 @@
     def advance(self, until):
         while self._ends and self._ends[0][0] <= until:
             end, _, name, job = heapq.heappop(self._ends)
-            self._pass(end)
+            self._move_clock(end)
             self.finished.append((name, end, job))
             if self.is_mixed:
                 self.admission.record_work(job.work_s)
             self.admission.finish(job, end)
-        self._pass(until)
+        self._move_clock(until)
 
-    def _pass(self, moment):
+    def _move_clock(self, moment):
         self.busy_s += (moment - self.now) * (self.admission.running == self.admission.limit)
         self.now = moment
 
@@ -78,17 +81,17 @@
 
 @given("{count:d} requests of 100 ms with priority 2 that came first")
 @when("{count:d} requests come at once")
-def come_at_once(context, count):
+def arrive_at_once(context, count):
     context.jobs = [context.play.offer(number) for number in range(count)]
 
 
 @given("{count:d} requests of 100 ms with priority 2 and {objective:f} s that came first")
-def come_with_time(context, count, objective):
+def arrive_with_objective(context, count, objective):
     context.jobs = [context.play.offer(number, objective=objective) for number in range(count)]
 
 
 @when("{rate:d} requests a second come for 10 s")
-def come_steadily(context, rate):
+def arrive_steadily(context, rate):
     for number in range(rate * 10):
         context.play.advance(number / rate)
         context.play.offer(number)
@@ -97,23 +100,23 @@
 
 
 @when("a request with {milliseconds:d} ms left comes")
-def little_left(context, milliseconds):
+def arrive_near_deadline(context, milliseconds):
     context.play.offer("short", objective=milliseconds / 1000, left=milliseconds / 1000)
 
 
 @when("a request with priority 0 comes")
-def urgent(context):
+def arrive_urgent(context):
     context.play.offer("urgent", priority=0)
 
 
 @when("the target becomes {factor:d} times slower")
-def slower(context, factor):
+def slow_down(context, factor):
     context.play.admission.slowness = float(factor)
     context.play.admission.shed_late(context.play.now)
 
 
 @when("{count:d} late requests whose objective has passed come")
-def late_ones(context, count):
+def arrive_late(context, count):
     for number in range(count):
         context.play.offer(1000 + number, objective=0.0, late_policy=LatePolicy.QUEUE)
 
@@ -130,9 +133,9 @@
 
 
 @when("the first one that is queued is cancelled")
-def withdraw(context):
-    waiting = [job for job in context.jobs if job.state is JobState.QUEUED]
-    assert context.play.admission.cancel(waiting[0])
+def cancel_first_queued(context):
+    queued = [job for job in context.jobs if job.state is JobState.QUEUED]
+    assert context.play.admission.cancel(queued[0])
 
 
 @when("one that runs is finished")
@@ -141,13 +144,13 @@
     context.play.admission.finish(running[0], context.play.now)
 
 
-@when("the target works through it")
-def work_through(context):
+@when("the target has worked off the queue")
+def work_off_queue(context):
     context.play.advance(context.play.now + 10.0)
 
 
 @then("{running:d} run and {waiting:d} are queued")
-def counts(context, running, waiting):
+def check_counts(context, running, waiting):
     admission = context.play.admission
     assert (admission.running, admission.queued) == (running, waiting), (
         admission.running,
@@ -155,21 +158,21 @@
     )
 
 
-@then("{count:d} were rejected, each with the delay it would have had")
-def rejected(context, count):
+@then("{count:d} were rejected, each with its expected wait")
+def check_rejected(context, count):
     assert len(context.play.rejected) == count, len(context.play.rejected)
     assert all(wait > 0.1 for _, wait in context.play.rejected)
 
 
 @then("every request that was admitted is answered within its objective")
-def all_in_time(context):
+def check_all_in_time(context):
     play = context.play
     assert not play.shed
     assert all(end <= job.objective_at + 1e-6 for _, end, job in play.finished)
 
 
 @then("at least {percent:d} in 100 of those admitted are answered within their objective")
-def mostly_in_time(context, percent):
+def check_mostly_in_time(context, percent):
     play = context.play
     admitted = len(play.finished) + len(play.shed)
     in_time = sum(end <= job.objective_at + 1e-6 for _, end, job in play.finished)
@@ -177,40 +180,40 @@
 
 
 @then("the target is busy at least {percent:d} in 100 of the time")
-def busy(context, percent):
+def check_busy(context, percent):
     assert context.play.busy_s >= context.offered_s * percent / 100, context.play.busy_s
 
 
 @then("it starts before any of the queued ones")
-def starts_first(context):
+def check_starts_first(context):
     context.play.advance(10.0)
     assert context.play.started[7] == "urgent", context.play.started
 
 
-@then("at least {count:d} queued requests are shed in that moment")
+@then("at least {count:d} queued requests are shed at once")
 def shed(context, count):
     assert len(context.play.shed) >= count, context.play.shed
 
 
 @then("{count:d} of them are queued")
-def late_wait(context, count):
+def check_late_queued(context, count):
     refused = [name for name, _ in context.play.rejected if name >= 1000]
     assert len(refused) == 10 - count, refused
 
 
 @then("the late ones are answered last")
-def late_last(context):
+def check_late_last(context):
     names = [name for name, _, _ in context.play.finished]
     assert all(name >= 1000 for name in names[-4:]), names
 
 
 @then("every queued request was shed")
-def all_shed(context):
+def check_all_shed(context):
     assert len(context.play.shed) == 13, context.play.shed
 
 
 @then("no request that comes later is admitted")
-def nothing_let_in(context):
+def check_none_admitted(context):
     before = len(context.play.rejected)
     context.play.offer("later")
     assert len(context.play.rejected) == before + 1
@@ -220,85 +223,87 @@
 _CALL = {"priority": 1, "objective": 0.15, "left": 0.5, "work": 0.04}
 
 
-@given("a target with {slots:d} slots that works on orders of 210 ms and on calls of 40 ms")
-@given("a target with {slots:d} slots that works on calls of 40 ms alone")
-@given("a target with {slots:d} slots that works on uploads, urgent lookups and calls")
+@given("a target with {slots:d} slots that runs orders of 210 ms and calls of 40 ms")
+@given("a target with {slots:d} slots that runs only calls of 40 ms")
+@given("a target with {slots:d} slots that runs uploads, urgent lookups and calls")
 def mixed_target(context, slots):
     context.play = Play(slots)
     context.play.is_mixed = True
 
 
-def _come_mixed(context, rates, seconds):
-    play, context.came = context.play, []
+def _offer_mixed(context, rates, seconds):
+    play, context.offered = context.play, []
     arrivals = [
-        (number / rate, kind, terms)
-        for kind, rate, terms in rates
+        (number / rate, kind, options)
+        for kind, rate, options in rates
         for number in range(rate * seconds)
     ]
-    for moment, kind, terms in sorted(arrivals, key=lambda one: one[0]):
+    for moment, kind, options in sorted(arrivals, key=lambda one: one[0]):
         play.advance(moment)
-        context.came.append((kind, moment))
-        play.offer((kind, moment), late_policy=LatePolicy.QUEUE, **terms)
+        context.offered.append((kind, moment))
+        play.offer((kind, moment), late_policy=LatePolicy.QUEUE, **options)
     play.advance(seconds + 5.0)
 
 
-def _waits(context, kind):
+def _answer_times(context, kind):
     return [end - name[1] for name, end, _ in context.play.finished if name[0] == kind]
 
 
 @when("{orders:d} orders a second and {calls:d} calls a second come for {seconds:d} s")
-def orders_and_calls(context, orders, calls, seconds):
+def offer_orders_and_calls(context, orders, calls, seconds):
     context.seconds = seconds
-    _come_mixed(context, (("order", orders, _ORDER), ("call", calls, _CALL)), seconds)
+    _offer_mixed(context, (("order", orders, _ORDER), ("call", calls, _CALL)), seconds)
 
 
 @when(
     "{uploads:d} uploads of 72 ms, {lookups:d} lookups of 24 ms and {calls:d} calls of 15 ms"
     " a second come for {seconds:d} s"
 )
-def three_kinds(context, uploads, lookups, calls, seconds):
+def offer_three_kinds(context, uploads, lookups, calls, seconds):
     rates = (
         ("upload", uploads, {"priority": 1, "objective": 0.3, "left": 2.0, "work": 0.072}),
         ("lookup", lookups, {"priority": 1, "objective": 0.1, "left": 0.6, "work": 0.024}),
         ("call", calls, {"priority": 1, "objective": 0.08, "left": 0.2, "work": 0.015}),
     )
-    _come_mixed(context, rates, seconds)
+    _offer_mixed(context, rates, seconds)
 
 
 @when("{calls:d} calls a second come for {seconds:d} s")
-def calls_alone(context, calls, seconds):
-    _come_mixed(context, (("call", calls, _CALL),), seconds)
+def offer_calls(context, calls, seconds):
+    _offer_mixed(context, (("call", calls, _CALL),), seconds)
 
 
 @then("at least {percent:d} in 100 of the {kind}s are answered within {milliseconds:d} ms")
-def answered_within(context, percent, kind, milliseconds):
-    came = sum(1 for one, _ in context.came if one == kind)
-    in_time = sum(1 for wait in _waits(context, kind) if wait <= milliseconds / 1000)
-    assert in_time >= came * percent / 100, (in_time, came)
+def check_answered_within(context, percent, kind, milliseconds):
+    offered = sum(1 for one, _ in context.offered if one == kind)
+    in_time = sum(1 for wait in _answer_times(context, kind) if wait <= milliseconds / 1000)
+    assert in_time >= offered * percent / 100, (in_time, offered)
 
 
 @then("at least {percent:d} in 100 of the calls that are admitted are answered within {limit:d} ms")
-def calls_in_time(context, percent, limit):
-    waits = _waits(context, "call")
-    in_time = sum(1 for wait in waits if wait <= limit / 1000)
-    assert in_time >= len(waits) * percent / 100, (in_time, len(waits))
+def check_calls_in_time(context, percent, limit):
+    answer_times = _answer_times(context, "call")
+    in_time = sum(1 for wait in answer_times if wait <= limit / 1000)
+    assert in_time >= len(answer_times) * percent / 100, (in_time, len(answer_times))
 
 
 @then("the orders that are admitted are answered within {milliseconds:d} ms")
-def orders_in_time(context, milliseconds):
-    waits = _waits(context, "order")
-    assert waits and max(waits) <= milliseconds / 1000, max(waits, default=None)
+def check_orders_in_time(context, milliseconds):
+    answer_times = _answer_times(context, "order")
+    assert answer_times and max(answer_times) <= milliseconds / 1000, max(
+        answer_times, default=None
+    )
 
 
 @then("at least {rate:d} orders a second are answered")
-def orders_answered(context, rate):
-    answered = len(_waits(context, "order"))
+def check_orders_answered(context, rate):
+    answered = len(_answer_times(context, "order"))
     assert answered >= rate * context.seconds, answered
 
 
 @then("one queued request of priority 2 was shed for it")
 def check_displaced(context):
-    # The queue was full: its next place went to the urgent request.
+    # The queue was full, so the urgent request displaced a queued one.
     assert len(context.play.shed) == 1, context.play.shed
     ((_, wait),) = context.play.shed
     assert wait > 0
--- a/tests/features/steps/admission_steps.py
+++ b/tests/features/steps/admission_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play loads against a gate and check what callers get."""
+"""Steps that simulate loads against an admission gate and check the outcomes of the calls."""
 
 import random
 
@@ -13,12 +13,12 @@
 _FIFO = POLICIES["fifo"]
 
 
-def play(context, parts, **options):
-    context.earlier = getattr(context, "outcomes", [])
+def simulate(context, parts, **options):
+    context.previous_outcomes = getattr(context, "outcomes", [])
     context.outcomes = GatePlay(parts, cores=context.cores, **options).play(context.calls)
 
 
-def waits(outcomes):
+def answer_times(outcomes):
     return [one.seconds for one in served(outcomes)]
 
 
@@ -33,7 +33,7 @@
 
 
 @given("a skewed load of one heavy caller and 20 light ones")
-def skew(context):
+def skewed_load(context):
     heavy = poisson(3800, 1.0, 1, caller="heavy")
     light = poisson(200, 1.0, 2, caller=lambda source: f"light{source.randrange(20)}")
     set_load(context, heavy + light)
@@ -87,26 +87,26 @@
     set_load(context, two_classes(4000, 1000))
 
 
-@given("twice the load that fits")
-def saturation(context):
+@given("a load of twice the capacity")
+def overload(context):
     set_load(context, poisson(4000, 2.0, 1, caller=lambda source: f"c{source.randrange(50)}"))
 
 
-@given("twice the load that fits with a deadline of {ms:d} ms")
-def tight_saturation(context, ms):
+@given("a load of twice the capacity with a deadline of {ms:d} ms")
+def overload_with_deadline(context, ms):
     callers = lambda source: f"c{source.randrange(50)}"  # noqa: E731
     set_load(context, poisson(4000, 2.0, 1, caller=callers, deadline=ms / 1000))
 
 
 @given("calls of 500 ms and then calls of 5 ms with a deadline of 100 ms")
-def slow_minute(context):
+def slow_period(context):
     slow = [Call(number * 0.05, work=0.5) for number in range(100)]
     fast = [Call(10 + number * 0.01, work=0.005, deadline=0.1) for number in range(40)]
     set_load(context, slow + fast)
 
 
-@given("a neighbour that takes 7 of 10 cores for two seconds")
-def neighbour(context):
+@given("another process that uses 7 of 10 cores for two seconds")
+def cpu_contention(context):
     calls = poisson(600, 5.0, 1, caller=lambda source: f"c{source.randrange(50)}", work=0.01)
     set_load(context, calls, lambda now: 3 if 1 <= now < 3 else 10)
 
@@ -125,37 +125,37 @@
     context.gate = Gate(10, random.Random(1))
 
 
-@when("it is played with our policy")
-def play_ours(context):
-    play(context, _OURS)
+@when("it is simulated with our policy")
+def simulate_ours(context):
+    simulate(context, _OURS)
 
 
-@when("it is played with the baseline policy")
-def play_baseline(context):
-    play(context, _FIFO)
+@when("it is simulated with the baseline policy")
+def simulate_baseline(context):
+    simulate(context, _FIFO)
 
 
-@when("it is played with the {part} swapped for the baseline")
-def play_swapped(context, part):
-    play(context, _OURS._replace(**{part: getattr(_FIFO, part)}))
+@when("it is simulated with the {part} replaced by the baseline")
+def simulate_replaced(context, part):
+    simulate(context, _OURS._replace(**{part: getattr(_FIFO, part)}))
 
 
-@when("it is played with our policy and weight {weight:d} for the team of one")
-def play_weighted(context, weight):
-    play(context, _OURS, team_weights={"one": weight})
+@when("it is simulated with our policy and weight {weight:d} for the team of one")
+def simulate_weighted(context, weight):
+    simulate(context, _OURS, team_weights={"one": weight})
 
 
-@when("it is played with our policy and the refused come back when they were told")
-def play_returns(context):
+@when("it is simulated with our policy and refused calls are retried after their Retry-After")
+def simulate_retries(context):
     target = GatePlay(_OURS)
     first = target.play(context.calls)
-    back = [
+    retries = [
         one.call._replace(at=one.at + one.retry_after_ms / 1000)
         for one in first
         if one.code is not None
     ]
     target.outcomes = []
-    context.returned = target.play(back)
+    context.retried = target.play(retries)
 
 
 @when("the target sheds load in two windows")
@@ -165,12 +165,12 @@
     context.gate.record_shed(1.2)
 
 
-@when("{count:d} random histories of a gate are played")
-def play_histories(context, count):
+@when("{count:d} random histories of a gate are run")
+def run_random_histories(context, count):
     run_histories(count)
 
 
-@when("a call gives its slot back twice")
+@when("a call releases its slot twice")
 def finish_twice(context):
     ticket = PendingCall(1.0, lambda: None, lambda refusal: None)
     context.gate.offer(ticket, 0.0)
@@ -178,48 +178,50 @@
     context.gate.finish(ticket, 0.2)
 
 
-@then("{count:d} calls are served and {refused:d} are refused in the moment they came")
+@then("{count:d} calls are served and {refused:d} are refused on arrival")
 def check_burst(context, count, refused):
     assert len(served(context.outcomes)) == count
-    told = [one for one in context.outcomes if one.code is not None and one.seconds == 0]
-    assert len(told) == refused, len(told)
+    refused_on_arrival = [
+        one for one in context.outcomes if one.code is not None and one.seconds == 0
+    ]
+    assert len(refused_on_arrival) == refused, len(refused_on_arrival)
 
 
 @then("at least {count:d} calls fewer are served")
 def check_fewer(context, count):
-    assert len(served(context.outcomes)) + count <= len(served(context.earlier))
+    assert len(served(context.outcomes)) + count <= len(served(context.previous_outcomes))
 
 
-def light(outcomes):
+def light_calls(outcomes):
     return [one for one in outcomes if one.call.caller != "heavy"]
 
 
 @then("every call of the light callers is served, 99 in 100 within {ms:d} ms")
 def check_light(context, ms):
-    outcomes = light(context.outcomes)
+    outcomes = light_calls(context.outcomes)
     assert len(served(outcomes)) == len(outcomes)
-    assert percentile(waits(outcomes), 0.99) <= ms / 1000
+    assert percentile(answer_times(outcomes), 0.99) <= ms / 1000
 
 
 @then("at least a third of the calls of the light callers is refused")
 def check_light_refused(context):
-    outcomes = light(context.outcomes)
+    outcomes = light_calls(context.outcomes)
     assert len(served(outcomes)) * 3 <= len(outcomes) * 2, len(served(outcomes))
 
 
-def by_team(outcomes):
+def count_by_team(outcomes):
     return [sum(one.call.team == team for one in served(outcomes)) for team in ("many", "one")]
 
 
-@then("both teams are served alike within {part:d} in 100")
+@then("both teams are served equally within {part:d} in 100")
 def check_teams(context, part):
-    many, one = by_team(context.outcomes)
+    many, one = count_by_team(context.outcomes)
     assert abs(many - one) * 100 <= part * (many + one), (many, one)
 
 
 @then("the team of one is served between {low:d} and {high:d} times as often")
 def check_weights(context, low, high):
-    many, one = by_team(context.outcomes)
+    many, one = count_by_team(context.outcomes)
     assert low * many <= one <= high * many, (many, one)
 
 
@@ -231,11 +233,13 @@
 def check_lookups(context, part, ms):
     outcomes = lookups(context.outcomes)
     assert len(served(outcomes)) * 100 >= part * len(outcomes), len(served(outcomes))
-    assert percentile(waits(outcomes), 0.99) <= ms / 1000, percentile(waits(outcomes), 0.99)
+    assert percentile(answer_times(outcomes), 0.99) <= ms / 1000, percentile(
+        answer_times(outcomes), 0.99
+    )
 
 
 @then("fewer than {part:d} in 100 lookups are served")
-def check_lookups_lost(context, part):
+def check_lookups_baseline(context, part):
     outcomes = lookups(context.outcomes)
     assert len(served(outcomes)) * 100 < part * len(outcomes), len(served(outcomes))
 
@@ -248,20 +252,20 @@
 
 
 @then("no reorder waited longer than {ms:d} ms for its answer")
-def check_starved(context, ms):
+def check_reorder_times(context, ms):
     reorders = [one for one in context.outcomes if one.call.kind == "reorders"]
     assert max(one.seconds for one in reorders) <= ms / 1000
 
 
 @then("the target is never idle and 99 in 100 answers come within {ms:d} ms")
-def check_standing(context, ms):
+def check_answer_times(context, ms):
     check_busy(context)
-    assert percentile(waits(context.outcomes), 0.99) <= ms / 1000
+    assert percentile(answer_times(context.outcomes), 0.99) <= ms / 1000
 
 
 @then("99 in 100 answers come only within {ms:d} ms or more")
-def check_standing_lost(context, ms):
-    assert percentile(waits(context.outcomes), 0.99) >= ms / 1000
+def check_answer_times_baseline(context, ms):
+    assert percentile(answer_times(context.outcomes), 0.99) >= ms / 1000
 
 
 @then("the target is never idle and every answer is in time")
@@ -289,29 +293,29 @@
     assert len(served(last)) == count, [one.code for one in last]
 
 
-def under_neighbour(context):
-    return waits([one for one in context.outcomes if 1.3 <= one.call.at < 3])
+def answer_times_in_contention(context):
+    return answer_times([one for one in context.outcomes if 1.3 <= one.call.at < 3])
 
 
-@then("under the neighbour 99 in 100 answers come within {ms:d} ms")
-def check_neighbour(context, ms):
-    assert percentile(under_neighbour(context), 0.99) <= ms / 1000
+@then("during the contention 99 in 100 answers come within {ms:d} ms")
+def check_contention(context, ms):
+    assert percentile(answer_times_in_contention(context), 0.99) <= ms / 1000
 
 
-@then("under the neighbour 99 in 100 answers come only within {ms:d} ms or more")
-def check_neighbour_lost(context, ms):
-    assert percentile(under_neighbour(context), 0.99) >= ms / 1000
+@then("during the contention 99 in 100 answers come only within {ms:d} ms or more")
+def check_contention_baseline(context, ms):
+    assert percentile(answer_times_in_contention(context), 0.99) >= ms / 1000
 
 
-@then("a second after the neighbour is gone every call is served again")
+@then("a second after the contention ends every call is served again")
 def check_recovery(context):
     assert all(one.code is None for one in context.outcomes if one.call.at >= 4)
 
 
-@then("it serves at least 9 in 10 of what the baseline serves")
+@then("it serves at least 9 in 10 of the calls that the baseline serves")
 def check_slow_store(context):
-    play(context, _OURS._replace(limit=_FIFO.limit))
-    ours, baseline = len(served(context.earlier)), len(served(context.outcomes))
+    simulate(context, _OURS._replace(limit=_FIFO.limit))
+    ours, baseline = len(served(context.previous_outcomes)), len(served(context.outcomes))
     assert ours * 10 >= baseline * 9, (ours, baseline)
 
 
@@ -321,7 +325,7 @@
 
 
 @then("after {windows:d} windows without it {count:d} calls run at once")
-def check_limit_back(context, windows, count):
+def check_limit_recovers(context, windows, count):
     now = 2.0
     for _ in range(windows * 12):
         ticket = PendingCall(now + 9, lambda: None, lambda refusal: None)
@@ -331,15 +335,15 @@
     assert context.gate.limit == count, context.gate.limit
 
 
-@then("at most 1 call in 10 that came back is refused again")
-def check_returned(context):
-    again = len(context.returned) - len(served(context.returned))
-    assert len(context.returned) == 150
-    assert again * 10 <= len(context.returned), again
+@then("at most 1 in 10 retried calls is refused again")
+def check_retried(context):
+    refused_again = len(context.retried) - len(served(context.retried))
+    assert len(context.retried) == 150
+    assert refused_again * 10 <= len(context.retried), refused_again
 
 
 @then("the next call is refused with code {name}")
-def check_broken(context, name):
+def check_gate_broken(context, name):
     refusals = []
     context.gate.offer(PendingCall(9.0, refusals.clear, refusals.append), 0.3)
     assert [refusal.code for refusal in refusals] == [Code[name]], refusals
--- a/tests/features/steps/answer_cuts_steps.py
+++ b/tests/features/steps/answer_cuts_steps.py
@@ -1,4 +1,4 @@
-"""Steps that deliver random rows of a target's answers in many cuts."""
+"""Steps that deliver random sequences of a target's answers, split into reads in many ways."""
 
 import random
 from typing import NamedTuple
@@ -15,83 +15,84 @@
 
 _BODY_BYTES = b"abHT/ \r\n0"
 _STAMP = "Response-Stamp: 3e1b.07.5a2\r\n"
-_RANDOM_CUTS = 4
-# What is missing takes in at least the second answer's first line and a byte: less cannot be told
-# from a body's own end when the rest of that answer comes in a later read.
-_LEAST_MISSING = 17
+_RANDOM_SPLITS = 4
+# At least the status line of the second answer and one byte of it are missing: a shorter rest
+# can't be told from the end of the body if it comes in a later read.
+_MIN_MISSING_BYTES = 17
 
 
-class _Row(NamedTuple):
-    """What a target sends.
+class _Sequence(NamedTuple):
+    """A sequence of answers that a target sends.
 
-    :param data: its bytes.
+    :param data: the bytes.
     :param own: status and body of the first answer to A.
-    :param is_pure: whether nothing but that answer and interim ones are in it, and the
-        connection may be kept behind it.
+    :param is_reusable: whether the bytes hold only that answer and interim ones, so that the
+        connection may be kept open.
     """
 
     data: bytes
     own: tuple
-    is_pure: bool
+    is_reusable: bool
 
 
 class _Outcome(NamedTuple):
-    """What became of a delivery.
+    """The outcome of delivering a sequence.
 
-    :param results: all that the caller of A was told.
-    :param kept: how many connections are kept.
+    :param results: all results that the caller of A got.
+    :param kept: how many connections are kept open.
     """
 
     results: list
     kept: int
 
 
-@given('{count:d} random rows of whole answers from seed "{seed}"')
-def give_rows(context, count, seed):
+@given('{count:d} random sequences of complete answers from seed "{seed}"')
+def give_sequences(context, count, seed):
     rng = random.Random(seed)
-    context.rows = [_make_row(rng) for _ in range(count)]
+    context.sequences = [_make_sequence(rng) for _ in range(count)]
     context.seed = seed
 
 
-def _make_row(rng):
-    before = [_make_other(rng) for _ in range(rng.choice([0, 0, 1, 2]))]
-    behind = [_make_any(rng) for _ in range(rng.choice([0, 0, 1, 2]))]
+def _make_sequence(rng):
+    preceding = [_make_preceding(rng) for _ in range(rng.choice([0, 0, 1, 2]))]
+    following = [_make_following(rng) for _ in range(rng.choice([0, 0, 1, 2]))]
     status = rng.choice([200, 200, 201, 204, 500])
     body = b"" if status == 204 else _make_body(rng)
     framing = rng.choice(["length", "chunks", "end"])
     if framing == "end":
-        # All that came behind it would be its body.
-        behind = []
+        # Whatever followed this answer would be part of its body.
+        following = []
     own = _render(rng, status, "A", framing, body)
-    data = b"".join([*before, own, *behind])
-    named = any(b"Request-Id" in one or b" 200 " in one for one in before)
-    has_end = framing != "end" or status == 204
-    return _Row(data, (status, body), not named and not behind and has_end)
+    data = b"".join([*preceding, own, *following])
+    is_matched = any(b"Request-Id" in one or b" 200 " in one for one in preceding)
+    has_framing = framing != "end" or status == 204
+    return _Sequence(data, (status, body), not is_matched and not following and has_framing)
 
 
-def _make_other(rng):
+def _make_preceding(rng):
     if rng.random() < 0.3:
         return b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
-    # Without a name only a success: a bare refusal may be the answer on a new connection.
-    status, name = rng.choice([(200, "B"), (503, "B"), (200, None)])
-    return _render(rng, status, name, rng.choice(["length", "chunks"]), _make_body(rng))
+    # Without a request id only a success: a refusal without one may be the answer to the request
+    # of a new connection.
+    status, request_id = rng.choice([(200, "B"), (503, "B"), (200, None)])
+    return _render(rng, status, request_id, rng.choice(["length", "chunks"]), _make_body(rng))
 
 
-def _make_any(rng):
+def _make_following(rng):
     if rng.random() < 0.2:
         return _make_body(rng) + b"x"
-    name = rng.choice(["A", "A", "B", None])
-    return _render(rng, rng.choice([200, 500]), name, "length", _make_body(rng))
+    request_id = rng.choice(["A", "A", "B", None])
+    return _render(rng, rng.choice([200, 500]), request_id, "length", _make_body(rng))
 
 
 def _make_body(rng):
     return bytes(rng.choices(_BODY_BYTES, k=rng.randint(0, 40)))
 
 
-def _render(rng, status, name, framing, body, declared=None):
+def _render(rng, status, request_id, framing, body, declared=None):
     head = f"HTTP/1.1 {status} X\r\n{_STAMP}"
-    if name is not None:
-        head += f"Request-Id: {name}\r\n"
+    if request_id is not None:
+        head += f"Request-Id: {request_id}\r\n"
     if framing == "end":
         return head.encode() + b"\r\n" + body
     if framing == "length":
@@ -113,16 +114,18 @@
     return b"".join(chunks) + b"0\r\n" + trailer + b"\r\n"
 
 
-@given("{count:d} random answers to A {framing} that are cut short, with a second answer behind")
-def give_short_rows(context, count, framing):
+@given("{count:d} random answers to A {framing} that are truncated, with a second answer behind")
+def give_truncated_sequences(context, count, framing):
     rng = random.Random(framing)
-    context.rows = [_make_short_row(rng, framing == "in chunks") for _ in range(count)]
+    context.sequences = [
+        _make_truncated_sequence(rng, framing == "in chunks") for _ in range(count)
+    ]
     context.seed = framing
 
 
-def _make_short_row(rng, in_chunks):
+def _make_truncated_sequence(rng, in_chunks):
     body = b"o" * rng.randint(0, 400)
-    size = len(body) + rng.randint(_LEAST_MISSING, 400)
+    size = len(body) + rng.randint(_MIN_MISSING_BYTES, 400)
     if in_chunks:
         whole = _render(random.Random(0), 200, "A", "chunks", b"")
         first = whole.removesuffix(b"0\r\n\r\n").removesuffix(b"0\r\nRequest-Id: B\r\n\r\n")
@@ -131,27 +134,27 @@
         first = _render(rng, 200, "A", "length", body, declared=size)
     second_body = b"w" * rng.choice([size, rng.randint(0, 400)])
     second = _render(rng, 200, rng.choice(["A", "Z"]), "length", second_body)
-    return _Row(first + second, (), False)
+    return _Sequence(first + second, (), False)
 
 
-@when("each row arrives for request A on a {connection} connection, cut in many ways")
-def deliver_rows(context, connection):
+@when("each sequence arrives for request A on a {connection} connection, split in many ways")
+def deliver_sequences(context, connection):
     rng = random.Random(context.seed)
     context.outcomes = []
-    for row in context.rows:
-        for cuts in _choose_cuts(rng, len(row.data)):
-            outcome = _deliver(row, cuts, connection == "used", rng.random() < 0.5)
-            context.outcomes.append((row, cuts, outcome))
+    for sequence in context.sequences:
+        for splits in _choose_splits(rng, len(sequence.data)):
+            outcome = _deliver(sequence, splits, connection == "used", rng.random() < 0.5)
+            context.outcomes.append((sequence, splits, outcome))
 
 
-def _choose_cuts(rng, size):
+def _choose_splits(rng, size):
     yield []
     yield list(range(1, size))
-    for _ in range(_RANDOM_CUTS):
+    for _ in range(_RANDOM_SPLITS):
         yield sorted(rng.sample(range(1, size), rng.randint(1, 3)))
 
 
-def _deliver(row, cuts, is_used, in_one_turn):
+def _deliver(sequence, splits, is_used, in_one_turn):
     loop, streams = FakeLoop(), []
 
     def dial(_loop, _address):
@@ -159,52 +162,56 @@
         return streams[-1]
 
     with mock.patch.object(targetpool, "dial", dial):
-        link = TargetConnectionPool(loop, ("127.0.0.1", 1), HEADER_CODEC)
+        pool = TargetConnectionPool(loop, ("127.0.0.1", 1), HEADER_CODEC)
         if is_used:
-            _send(link, "Z", [])
+            _send(pool, "Z", [])
             streams[0].on_connect()
             streams[0].on_data(
                 b"HTTP/1.1 200 X\r\nRequest-Id: Z\r\nResponse-Stamp: s\r\nContent-Length: 0\r\n\r\n"
             )
             loop.advance(0)
         results = []
-        _send(link, "A", results)
+        _send(pool, "A", results)
     (stream,) = streams
     if not is_used:
         stream.on_connect()
-    for start, end in zip([0, *cuts], [*cuts, len(row.data)], strict=True):
+    for start, end in zip([0, *splits], [*splits, len(sequence.data)], strict=True):
         if not stream.closed:
-            stream.on_data(row.data[start:end])
+            stream.on_data(sequence.data[start:end])
             if not in_one_turn:
                 loop.advance(0)
     loop.advance(0)
     kept = 0 if stream.closed else 1
-    # What is not whole by now has the end of the connection for its end.
+    # An answer that is still incomplete is ended by the end of the connection.
     stream.ended_cleanly = True
     stream.close()
     return _Outcome(results, kept)
 
 
-def _send(link, request_id, results):
+def _send(pool, request_id, results):
     request = Request("GET", b"/", ((b"host", b"a"),), b"")
-    link.send(request, request_id, True, results.append)
+    pool.send(request, request_id, True, results.append)
 
 
-@then("the caller of A gets the first answer of the row that names A, once")
+@then("the caller of A gets the first answer of the sequence to A, once")
 def check_first(context):
-    for row, cuts, outcome in context.outcomes:
-        assert len(outcome.results) == 1, (row, cuts, outcome)
+    for sequence, splits, outcome in context.outcomes:
+        assert len(outcome.results) == 1, (sequence, splits, outcome)
         (result,) = outcome.results
-        assert isinstance(result, TargetResponse), (row, cuts, outcome)
-        assert (result.response.status, result.response.body) == row.own, (row, cuts, outcome)
+        assert isinstance(result, TargetResponse), (sequence, splits, outcome)
+        assert (result.response.status, result.response.body) == sequence.own, (
+            sequence,
+            splits,
+            outcome,
+        )
 
 
-@then("only a connection that said nothing else is kept")
-def check_kept(context):
-    for row, cuts, outcome in context.outcomes:
+@then("only a connection without other bytes is kept open")
+def check_kept_open(context):
+    for sequence, splits, outcome in context.outcomes:
         is_open_ended = outcome.results[0].origin.framing == "close"
-        # Without a length the connection is open until its end, and was not kept then either.
-        assert is_open_ended or outcome.kept == row.is_pure, (row, cuts, outcome)
+        # An answer without a length lasts until the connection ends, so it is not kept open.
+        assert is_open_ended or outcome.kept == sequence.is_reusable, (sequence, splits, outcome)
 
 
 @then("the caller of A never gets a success")
@@ -218,7 +225,7 @@
     assert not wrong, (len(wrong), len(context.outcomes), wrong[0])
 
 
-@when("the head alone of {request_id:w} is asked for")
+@when("HEAD request {request_id:w} is sent to the target")
 def send_head(context, request_id):
     request = Request("HEAD", b"/", ((b"host", b"a"),), b"")
     results = context.results[request_id] = []
--- a/tests/features/steps/claims_model_steps.py
+++ b/tests/features/steps/claims_model_steps.py
@@ -1,4 +1,4 @@
-"""Steps that check the model of claims and run the claim books at random."""
+"""Steps that check the claim protocol's model and run the claim trackers at random."""
 
 from behave import then, when
 from minicheck import check_safety
@@ -20,30 +20,30 @@
 _KEY = ClaimKey("orders", "k1")
 
 
-@when("the model of claims is checked exhaustively")
+@when("the claim protocol's model is checked exhaustively")
 def check_model(context):
     context.reports = [
         check_safety(make_model(after_void=after_void), _MAX_STATES) for after_void in (False, True)
     ]
     for report in context.reports:
-        print("model of claims:", report["reachable_states"], "states")
+        print("claim protocol's model:", report["reachable_states"], "states")
 
 
 @then("its 3 properties hold in all of its states")
 def check_properties(context):
     for report in context.reports:
         assert report["exhaustive"], report
-        verdicts = [one["holds"] for one in report["properties"].values()]
-        assert verdicts == [True, True, True], report["properties"]
+        results = [one["holds"] for one in report["properties"].values()]
+        assert results == [True, True, True], report["properties"]
 
 
-@when("the model of claims is checked without its safeguard: {mutant:w}")
+@when("the claim protocol's model is checked without its safeguard: {mutant:w}")
 def check_mutant(context, mutant):
     after_void = mutant == "overwrite_without_comparing"
     context.report = check_safety(make_model(mutant, after_void), _MAX_STATES)
 
 
-@then("a shortest trace shows what goes wrong")
+@then("a shortest trace shows the violation")
 def check_trace(context):
     properties = context.report["properties"].values()
     traces = [one["counterexample"] for one in properties if one["holds"] is False]
@@ -52,21 +52,21 @@
     print("\n".join(step["label"] or "start" for step in traces[0]))
 
 
-@when("the claim books run {examples:d} random examples")
-def run_books(context, examples):
+@when("the claim trackers run {examples:d} random examples")
+def run_trackers(context, examples):
     run_fixed(ClaimsMachine, examples)
 
 
-@then("no invariant of theirs is broken")
-def check_books(context):
-    # A broken one fails the run itself, with a minimal trace; that it ran at all is told by:
+@then("none of their invariants is broken")
+def check_invariants(context):
+    # A violated invariant fails the run itself, with a minimal trace. The steps show that it ran.
     assert ClaimsMachine.steps > 1_000
 
 
-@when("the claim books run random examples without their safeguard: {mutant:w}")
+@when("the claim trackers run random examples without their safeguard: {mutant:w}")
 def run_mutant(context, mutant):
-    book_class = getattr(claims_mutants, mutant)
-    machine = type(mutant, (ClaimsMachine,), {"book_class": book_class})
+    tracker_class = getattr(claims_mutants, mutant)
+    machine = type(mutant, (ClaimsMachine,), {"book_class": tracker_class})
     context.caught = None
     try:
         run_fixed(machine, _MUTANT_EXAMPLES, shrink=False)
@@ -81,52 +81,52 @@
 
 @when("a waiter joins a takeover that another node has won and run")
 def join_takeover(context):
-    context.told = {
-        book_class: _join_late(book_class)
-        for book_class in (ClaimTracker, claims_mutants.KeepProof)
+    context.waiter_results = {
+        tracker_class: _join_late_waiter(tracker_class)
+        for tracker_class in (ClaimTracker, claims_mutants.KeepProof)
     }
 
 
-@then("the waiter is told OUTCOME_UNKNOWN, and NOT_RUN if the safeguard is left out")
-def check_told(context):
-    assert context.told[ClaimTracker] is Ran.OUTCOME_UNKNOWN, context.told
-    assert context.told[claims_mutants.KeepProof] is Ran.NOT_RUN, context.told
+@then("the waiter is told OUTCOME_UNKNOWN, and NOT_RUN if the safeguard is removed")
+def check_waiter_result(context):
+    assert context.waiter_results[ClaimTracker] is Ran.OUTCOME_UNKNOWN, context.waiter_results
+    assert context.waiter_results[claims_mutants.KeepProof] is Ran.NOT_RUN, context.waiter_results
 
 
-def _join_late(book_class):
-    book = Process(None, "a", "a1", book_class).book
-    (write,) = book.submit(_KEY, b"d", Waiter("first"), 0.0)
+def _join_late_waiter(tracker_class):
+    tracker = Process(None, "a", "a1", tracker_class).book
+    (write,) = tracker.submit(_KEY, b"d", Waiter("first"), 0.0)
     void = ClaimRecord(AttemptId("b1", 1), "b", "b", b"d", RecordState.VOIDED)
     lost = WriteResult(WriteOutcome.LOST, Row(pack_record(void), 7))
-    (takeover,) = book.on_written(_KEY, write.record.attempt, lost)
+    (takeover,) = tracker.on_written(_KEY, write.record.attempt, lost)
     assert takeover.expected == 7
-    # Here another node takes the void claim over, runs it and answers its caller.
-    assert book.submit(_KEY, b"d", Waiter("late"), 0.0) == []
+    # At this point another node takes over the void claim, runs the call and answers its caller.
+    assert tracker.submit(_KEY, b"d", Waiter("late"), 0.0) == []
     attempt = takeover.record.attempt
-    book.on_written(_KEY, attempt, WriteResult(WriteOutcome.UNKNOWN))
-    settled = book.on_read(_KEY, attempt, Failure(ReadFailure("lost")))
+    tracker.on_written(_KEY, attempt, WriteResult(WriteOutcome.UNKNOWN))
+    settled = tracker.on_read(_KEY, attempt, Failure(ReadFailure("lost")))
     (result,) = [one.result for one in settled if getattr(one, "token", None) == "late"]
     assert not isinstance(result, Response)
     return result.ran
 
 
-@when("the owner of a running call dies and its key is sent to another node")
-def send_to_another(context):
+@when("the owner of a running call is killed and its key is sent to another node")
+def resend_after_kill(context):
     context.runs = {
-        book_class: _run_after_death(book_class)
-        for book_class in (ClaimTracker, claims_mutants.TakeOverOpen)
+        tracker_class: _count_runs_after_kill(tracker_class)
+        for tracker_class in (ClaimTracker, claims_mutants.TakeOverOpen)
     }
 
 
-@then("the call has run once, and twice if the safeguard is left out")
+@then("the call has run once, and twice if the safeguard is removed")
 def check_run_once(context):
     assert context.runs == {ClaimTracker: 1, claims_mutants.TakeOverOpen: 2}, context.runs
 
 
-def _run_after_death(book_class):
-    world = World(book_class)
+def _count_runs_after_kill(tracker_class):
+    world = World(tracker_class)
     world.submit(0, _KEY, b"d", vouch=False)
-    # The claim is written and answered; the call reaches the target and is not answered.
+    # The claim's write is answered; the call reaches the target, whose answer doesn't arrive.
     world.advance(1)
     world.step(world.pending[-1], "apply")
     assert world.runs[_KEY] == 1
--- a/tests/features/steps/configuration_model_steps.py
+++ b/tests/features/steps/configuration_model_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the configuration's models, random runs and pure functions."""
+"""Steps about the models of the configuration protocols, random runs and the choice of partners."""
 
 from behave import then, when
 from configruns import ConfigRuns
@@ -45,32 +45,34 @@
 @then("a system of 3, 200 and 2100 nodes polls at most {rate:d} times a second")
 def check_polls(context, rate):
     for members in (3, 200, 2100):
-        chance = poll_probability(members, rate, 1.0)
-        assert 0 < chance <= 1
-        assert min(members, rate) * 0.99 <= members * chance <= rate * 1.01 or members < rate
+        probability = poll_probability(members, rate, 1.0)
+        assert 0 < probability <= 1
+        assert min(members, rate) * 0.99 <= members * probability <= rate * 1.01 or members < rate
 
 
-@then("news from any node of {count:d} in {domains:d} domains reaches all within {steps:d} steps")
-def check_news(context, count, domains, steps):
+@then(
+    "a version from any node of {count:d} in {domains:d} domains reaches all within {steps:d} steps"
+)
+def check_reach(context, count, domains, steps):
     members = [(f"n{number}", f"fd-{number % domains}") for number in range(count)]
     context.partners = {
         one: choose_partners(one, [m for m in members if m != one], 4) for one in members
     }
-    both_ways = {name: set() for name, _ in members}
+    neighbours = {name: set() for name, _ in members}
     for (name, _), partners in context.partners.items():
         for partner in partners:
-            both_ways[name].add(partner)
-            both_ways[partner].add(name)
+            neighbours[name].add(partner)
+            neighbours[partner].add(name)
     for start in ("n0", "n1", f"n{count - 1}"):
         reached = newest = {start}
         for _ in range(steps):
-            newest = {far for near in newest for far in both_ways[near]} - reached
+            newest = {far for near in newest for far in neighbours[near]} - reached
             reached = reached | newest
         assert len(reached) == count, len(reached)
 
 
 @then("half of the partners are in other domains")
-def check_abroad(context):
+def check_other_domains(context):
     domains = dict(context.partners.keys())
     for (_, domain), partners in context.partners.items():
         assert len(partners) == 4
--- a/tests/features/steps/configuration_steps.py
+++ b/tests/features/steps/configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the configuration's promises, with real processes."""
+"""Steps about confirming and distributing the configuration, with real processes."""
 
 import signal
 import threading
@@ -17,7 +17,7 @@
 
 _HEAD = '"sk": {"S": "head"}'
 _LEAVE = {"service": "counter", "target": "b1", "state": "leave"}
-_WAITING = 12
+_WAITING_CALLS = 12
 
 
 @given("{count:d} operators have planned different weights of counter/b1 on version {base:d}")
@@ -40,17 +40,17 @@
         context.replies = list(pool.map(send, enumerate(context.digests)))
 
 
-@then("one wins with version {version:d} and the others get CONFLICT with a plan on version 2")
+@then("one succeeds with version {version:d} and the others get CONFLICT with a plan on version 2")
 def check_race(context, version):
-    won = [document for status, document in context.replies if status == 200]
-    assert [document["version"] for document in won] == [version], context.replies
+    confirmed = [document for status, document in context.replies if status == 200]
+    assert [document["version"] for document in confirmed] == [version], context.replies
     context.fresh = [document for status, document in context.replies if status == 409]
     assert len(context.fresh) == len(context.replies) - 1, context.replies
     for document in context.fresh:
         assert document["code"] == 406 and document["fresh_plan"]["base"] == version, document
 
 
-@when("one of the losers confirms its fresh plan")
+@when("one of the others confirms its fresh plan")
 def confirm_fresh(context):
     digest = context.fresh[0]["fresh_plan"]["plan"]
     context.reply = confirm(context.deployment, "a1", "flock", digest)
@@ -61,18 +61,18 @@
     context.deployment.set_faults(lose_answers=1, only=_HEAD)
 
 
-@given("the platform holds 1 write of the head")
+@given("the platform delays 1 write of the head")
 def hold_write(context):
     context.deployment.set_faults(hold_writes=1, only=_HEAD)
 
 
-@when("the platform lets go of the write")
+@when("the platform releases the delayed write")
 def release_write(context):
     assert context.deployment.counts()["held"] == 1
     context.deployment.release()
 
 
-@then("the history tells {count:d} versions")
+@then("the history lists {count:d} versions")
 def check_history(context, count):
     status, document = ask(context.deployment, "b1", "GET", "/v1/history", "flock")
     assert status == 200 and len(document["versions"]) == count, document
@@ -88,7 +88,7 @@
     context.deployment.set_faults()
 
 
-@when("the confirm is sent again until the platform answers")
+@when("the confirmation is repeated until the platform answers")
 def confirm_until(context):
     def confirmed():
         context.reply = confirm(context.deployment, "a1", "flock", context.planned["plan"])
@@ -107,10 +107,10 @@
 @when("node b1 is frozen for longer than its limit with calls waiting for counter")
 def freeze_with_calls(context):
     deployment = context.deployment
-    context.callers = [Caller(deployment.nodes["b1"].callers) for _ in range(_WAITING)]
+    context.callers = [Caller(deployment.nodes["b1"].callers) for _ in range(_WAITING_CALLS)]
     for caller in context.callers:
-        # Kept connections: their calls are all read in the first turn after waking, before
-        # any news can have been fetched.
+        # On open connections all calls are read in the first turn of the event loop after the node
+        # resumes, before it can have fetched a newer version.
         assert caller.request("GET", "counter", "/first").status == 200
     deployment.signal("node-b1", signal.SIGSTOP)
     context.frozen_at = time.monotonic()
@@ -118,22 +118,22 @@
         caller.send(render("GET", "counter", "/waiting"))
 
 
-@given("flock has had counter/b1 leave")
-def leave(context):
+@given("flock has made counter/b1 leave")
+def make_leave(context):
     version = change(context.deployment, "a1", "flock", _LEAVE)
     wait_version(context.deployment, context.deployment.nodes, version)
 
 
-@when("flock has counter/b1 leave meanwhile")
-def leave_meanwhile(context):
+@when("flock makes counter/b1 leave meanwhile")
+def make_leave_meanwhile(context):
     version = change(context.deployment, "a1", "flock", _LEAVE)
     wait_version(context.deployment, ("a1", "c1"), version)
-    # Longer than freeze_ms, so that the node has to notice; the sleep decides nothing else.
+    # Longer than freeze_ms, so that the node detects the suspension; nothing else depends on it.
     time.sleep(max(0.0, context.frozen_at + 4.0 - time.monotonic()))
 
 
-@when("node b1 wakes")
-def wake(context):
+@when("node b1 resumes")
+def resume(context):
     context.deployment.signal("node-b1", signal.SIGCONT)
 
 
@@ -169,7 +169,7 @@
     assert version_at(context.deployment, name) == version
 
 
-@then("{name} says that it is not ready because {reason}")
+@then("{name} reports that it is not ready because {reason}")
 def check_reason(context, name, reason):
     def says():
         status, document = ask(context.deployment, name, "GET", "/readyz")
@@ -192,7 +192,7 @@
         context.deployment.signal(f"node-{name}", signal.SIGSTOP)
 
 
-@then("c1 comes to refuse calls because nothing answers")
+@then("c1 starts to refuse calls because nothing answers")
 def check_cut_off(context):
     def refused():
         reason = ask(context.deployment, "c1", "GET", "/readyz")[1].get("reason", "")
@@ -209,16 +209,16 @@
     context.deployment.wait_until(lambda: len(context.load.answers) > 100)
 
 
-@when("flock has counter's targets in fd-b leave while c1 is frozen for a moment")
-def domain_leaves_unheard(context):
+@when("flock makes counter's targets in fd-b leave while c1 is frozen for a moment")
+def make_domain_leave(context):
     context.deployment.signal("node-c1", signal.SIGSTOP)
     change(context.deployment, "a1", "flock", _domain_intent("leave"))
     context.confirmed_at = time.monotonic()
     context.deployment.signal("node-c1", signal.SIGCONT)
 
 
-@when("flock has counter's targets in fd-b take work again")
-def domain_returns(context):
+@when("flock makes counter's targets in fd-b accept calls again")
+def make_domain_accept(context):
     change(context.deployment, "a1", "flock", _domain_intent("take"))
 
 
@@ -240,16 +240,16 @@
     return {"service": "counter", "domain": "fd-b", "state": state}
 
 
-@when("flock has counter/b1 leave while c1 is frozen for a moment")
-def leave_unheard(context):
+@when("flock makes counter/b1 leave while c1 is frozen for a moment")
+def make_leave_under_load(context):
     context.deployment.signal("node-c1", signal.SIGSTOP)
     change(context.deployment, "a1", "flock", _LEAVE)
     context.confirmed_at = time.monotonic()
     context.deployment.signal("node-c1", signal.SIGCONT)
 
 
-@then("counter/b1 gets no call later than {seconds:d} seconds after the confirm")
-def check_left(context, seconds):
+@then("counter/b1 gets no call later than {seconds:d} seconds after the confirmation")
+def check_no_late_calls(context, seconds):
     end = context.confirmed_at + seconds + 2
     context.deployment.wait_until(lambda: time.monotonic() > end)
     context.load.stop()
@@ -262,15 +262,15 @@
     assert not late, late
 
 
-@then("each call was served or truly not run")
-def check_none_lost(context):
+@then("each call was served or refused with NOT_RUN")
+def check_none_failed(context):
     refused = [one.answer for one in context.load.answers if one.answer.status != 200]
     assert {answer.headers.get("camphorshelf-ran") for answer in refused} <= {"NOT_RUN"}, refused
     assert len(refused) < len(context.load.answers) / 50, (len(refused), refused[:3])
 
 
-@when("a peer that has not heard sends a call for counter to b1")
-def send_unheard(context):
+@when("a peer with an older version sends a call for counter to b1")
+def send_outdated(context):
     inner = InnerLoop()
     link = PeerLink(inner.loop, split_address(context.deployment.nodes["b1"].peers))
     attempt = AttemptId("unheard", 1)
@@ -282,7 +282,7 @@
 
 
 @then("the peer is told {code:d} and NOT_RUN")
-def check_unheard(context, code):
+def check_outdated_refused(context, code):
     assert (context.message.code, context.message.ran) == (code, "NOT_RUN"), context.message
     assert context.message.load.config_version == 2
 
@@ -294,7 +294,7 @@
 
 
 class _Load:
-    """Callers that send one lookup after the other until they are stopped."""
+    """Callers at every node, each sending one lookup after the other until stopped."""
 
     def __init__(self, deployment):
         self.answers = []
--- a/tests/features/steps/diagnosis_steps.py
+++ b/tests/features/steps/diagnosis_steps.py
@@ -1,4 +1,4 @@
-"""Steps that find the causes of failed requests as docs/OPERATIONS.md says, from saved logs."""
+"""Steps that find the causes of failed requests in saved logs, as docs/OPERATIONS.md describes."""
 
 import json
 import signal
@@ -13,14 +13,14 @@
 _WAIT_MS = 700
 _ROUNDS = 4
 _LOG_SECONDS = 5.0
-_AT_TARGET = ("run_failed", "run_cancelled")
+_TARGET_EVENTS = ("run_failed", "run_cancelled")
 
 
 class Sent(NamedTuple):
-    """One request and what its caller got."""
+    """One request, the fault injected into it (empty: none) and the status its caller got."""
 
     request_id: str
-    hidden_fault: str
+    injected_fault: str
     status: int
 
 
@@ -30,8 +30,8 @@
     context.sent.append(Sent(relays.last_id, fault, status))
 
 
-@given("a day on which one order in four is broken off and one lookup in four is never answered")
-def play_day(context):
+@given("a load in which one order in four is aborted and one lookup in four is never answered")
+def send_load(context):
     context.sent = []
     for number in range(_ROUNDS * 4):
         is_faulty = number % 4 == 0
@@ -39,7 +39,7 @@
         _send(context, "mute" if is_faulty else "", "GET", "/look/x" + "?mute=1" * is_faulty)
 
 
-@given('at its end the target of "{name}" leaves and {count:d} more orders are sent')
+@given('at the end the target of "{name}" leaves and {count:d} more orders are sent')
 def leave_at_end(context, name, count):
     relays = context.relays
     relays.signal(f"target-{name}", signal.SIGUSR1)
@@ -57,7 +57,7 @@
 
 
 def _latest_target_lines(context, service):
-    """The last word of each host of a service on its target."""
+    """Return the latest ``target`` log line of each host of a service, by host."""
     latest = {}
     for path in glob(str(context.relays.directory / "node-*.log")):
         lines = [
@@ -76,17 +76,17 @@
     if code == "NO_TARGET":
         lines = _latest_target_lines(context, last["service"])
         return "refused", {host for host, line in lines.items() if line["leaving"]}
-    hosts = {hop["host"] for hop in hops if hop["event"] in _AT_TARGET}
+    hosts = {hop["host"] for hop in hops if hop["event"] in _TARGET_EVENTS}
     if code == "DEADLINE_EXCEEDED" and hosts:
-        return "out of time", hosts
+        return "deadline exceeded", hosts
     if code == "TARGET_LOST" and hosts:
         return "lost", hosts
     return code, set()
 
 
 @when("each failed request is looked up by its id in the saved logs")
-def look_up(context):
-    context.found = {}
+def diagnose_failures(context):
+    context.causes = {}
     for sent in context.sent:
         if sent.status == 200:
             continue
@@ -97,32 +97,34 @@
             return bool(hops) and hops[-1]["event"] == "refused"
 
         context.relays.wait_until(is_logged, _LOG_SECONDS)
-        context.found[sent.request_id] = _diagnose(context, hops)
+        context.causes[sent.request_id] = _diagnose(context, hops)
 
 
-def _found(context, fault):
-    found = [context.found.get(one.request_id) for one in context.sent if one.hidden_fault == fault]
-    assert found, fault
-    return found
+def _causes_of(context, fault):
+    causes = [
+        context.causes.get(one.request_id) for one in context.sent if one.injected_fault == fault
+    ]
+    assert causes, fault
+    return causes
 
 
-@then('the broken orders are found to be lost by the target of "{name}"')
-def lost(context, name):
-    assert all(one == ("lost", {name}) for one in _found(context, "cut")), context.found
+@then('the aborted orders are found to be lost at the target of "{name}"')
+def check_lost(context, name):
+    assert all(one == ("lost", {name}) for one in _causes_of(context, "cut")), context.causes
 
 
-@then("the lookups are found to have run out of time at the target that had them")
-def out_of_time(context):
-    for word, hosts in _found(context, "mute"):
-        assert word == "out of time" and hosts and hosts <= {"a", "b"}, context.found
+@then("the lookups are found to have exceeded their deadline at the target that ran them")
+def check_deadline_exceeded(context):
+    for cause, hosts in _causes_of(context, "mute"):
+        assert cause == "deadline exceeded" and hosts and hosts <= {"a", "b"}, context.causes
 
 
 @then('the last orders are found to be refused because the target of "{name}" leaves')
-def refused(context, name):
-    assert all(one == ("refused", {name}) for one in _found(context, "leave")), context.found
+def check_refused(context, name):
+    assert all(one == ("refused", {name}) for one in _causes_of(context, "leave")), context.causes
 
 
-@then("no request that went well is among them")
-def only_faults(context):
+@then("no successful request is among them")
+def check_only_faults(context):
     failed = [one for one in context.sent if one.status != 200]
-    assert all(one.hidden_fault for one in failed), failed
+    assert all(one.injected_fault for one in failed), failed
