--- a/tests/features/config_reads.feature
+++ b/tests/features/config_reads.feature
@@ -51,10 +51,10 @@
     Then it has fetched <at once> times at once and <later> times after 0.4 s
 
     Examples:
-      | domain         | forwarding         | at once | later |
-      | another domain | others forward     | 0       | 1     |
-      | another domain | the node forwards  | 1       | 1     |
-      | its own domain | others forward     | 1       | 1     |
+      | domain         | forwarding        | at once | later |
+      | another domain | others forward    | 0       | 1     |
+      | another domain | the node forwards | 1       | 1     |
+      | its own domain | others forward    | 1       | 1     |
 
   Scenario: In an outage of the store the nodes of a large fleet poll it at a bounded total rate
     # Guards against an outage that costs one paid call by each node, so that the cost grows with the
--- a/tests/features/edge.feature
+++ b/tests/features/edge.feature
@@ -1,12 +1,12 @@
-Feature: What callers may send, and what becomes of it
+Feature: How a node parses callers' requests and answers them
 
-  Scenario Outline: A request that can be read in two ways is refused
-    # A target that reads another length than the node takes the rest of the body for the next
-    # request, which then answers someone else. The node must refuse what could be read twice.
+  Scenario Outline: A malformed or ambiguous request is refused
+    # Guards against request smuggling: a target that determines another body length than the node
+    # parses the rest of the body as a request, and a caller gets the answer to another's request.
     Given a caller's connection to a node
     When the caller sends "<head>"
     Then the caller is refused with 400 and code 101
-    And the connection ends and nothing was passed on
+    And the connection ends and nothing was forwarded
 
     Examples:
       | head                                                                                 |
@@ -47,7 +47,7 @@
     When the caller sends a head with bare line feeds
     Then the caller is refused with 400 and code 101
 
-  Scenario: A good request before a bad one is still answered
+  Scenario: A valid request before a malformed one is still answered
     Given a caller's connection to a node
     When the caller sends "GET /1 HTTP/1.1~Host: a~~GET /2 HTTP/1.1~Host: a~Host: b~~"
     And the target answers 200 "first"
@@ -77,10 +77,10 @@
       | POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~6~abcdef~6~abcdef~0~~   |
       | POST / HTTP/1.1~Host: a~Expect: 100-continue~Content-Length: 11~~           |
 
-  Scenario Outline: A sender that never comes to an end
-    # One caller who sends a byte now and then would hold a connection for ever, and a few
-    # hundred of them all of the node's connections. The time for a whole head or body is
-    # bounded, however it trickles in, also behind a request that is already answered.
+  Scenario Outline: A request that is sent too slowly is refused
+    # Guards against callers who send a byte now and then: each would hold a connection for ever,
+    # and a few hundred of them all connections of the node. The time for a whole head or body is
+    # bounded however slowly it arrives, also after a request that is already answered.
     Given a caller's connection to a node
     When the caller sends "<start>"
     And the caller sends 1 byte each second for 20 seconds
@@ -91,68 +91,68 @@
       | GET / HTTP/1.1~Host: a~X:                         |
       | POST / HTTP/1.1~Host: a~Content-Length: 100~~     |
 
-  Scenario: A second request that never comes to an end behind an answered one
+  Scenario: A second request that is sent too slowly after an answered one is refused
     Given a caller's connection to a node
     When the caller sends "GET / HTTP/1.1~Host: a~~GET /2 HTTP/1.1~Host: a~X:"
     And the target answers 200 "first"
     And the caller sends 1 byte each second for 20 seconds
     Then the caller got the answers "first" and then a refusal with code 104
 
-  Scenario: An idle connection is closed without a word
+  Scenario: An idle connection is closed without an answer
     Given a caller's connection to a node
-    When the connection stays so for 80 seconds
+    When the connection stays unchanged for 80 seconds
     Then the connection is closed and nothing was sent
 
-  Scenario: A long answer's time is not the sender's
+  Scenario: The time a target takes to answer does not count against the sender's timeout
     Given a caller's connection to a node
     When the caller sends "GET / HTTP/1.1~Host: a~~"
-    And the connection stays so for 50 seconds
+    And the connection stays unchanged for 50 seconds
     And the target answers 200 "late"
     Then the caller got the answers "late"
 
-  Scenario: Pipelined requests are taken one at a time and answered in order
+  Scenario: Pipelined requests are handled one at a time and answered in order
     Given a caller's connection to a node
     When the caller sends 100 requests at once
     Then reading is held back with at most 16 requests waiting
     And the target can answer all 100 in order
 
-  Scenario: A body is asked for when its turn comes
-    # The caller waits for 100 before it sends its body. Sent while the first answer is still
-    # due, 100 would be taken for that answer's; never sent, the caller waits for ever.
+  Scenario: 100 Continue is sent only after the answers to earlier requests
+    # The caller waits for 100 Continue before it sends its body. If it were sent before the first
+    # answer, the caller would relate it to the first request; without it the caller waits for ever.
     Given a caller's connection to a node
     When the caller sends "GET /1 HTTP/1.1~Host: a~~POST /2 HTTP/1.1~Host: a~Expect: 100-continue~Content-Length: 2~~"
     Then nothing was sent to the caller yet
     When the target answers 200 "first"
-    Then the last that was sent is 100 Continue
+    Then 100 Continue was sent last
     When the caller sends "ok"
-    Then the request passed on last is POST with body "ok"
+    Then the last forwarded request is POST with body "ok"
 
-  Scenario: An expectation that cannot be met
+  Scenario: An expectation that cannot be met is refused
     Given a caller's connection to a node
     When the caller sends "POST / HTTP/1.1~Host: a~Expect: a-miracle~Content-Length: 2~~"
     Then the caller is refused with 417 and code 108
 
-  Scenario: A chunked body reaches the target whole, without its trailers
-    # A trailer taken for a header would set a second deadline behind the checks.
+  Scenario: A chunked body reaches the target complete, without its trailers
+    # Guards against a trailer that is treated as a header and sets a second deadline unchecked.
     Given a caller's connection to a node
     When the caller sends "POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~3~abc~2~de~0~Deadline-Ms: 1~~"
-    Then the request passed on last is POST with body "abcde"
+    Then the last forwarded request is POST with body "abcde"
     And it has no header deadline-ms
 
-  Scenario: A wish to change the protocol is ignored
+  Scenario: A request to upgrade the protocol is ignored
     Given a caller's connection to a node
     When the caller sends "GET /1 HTTP/1.1~Host: a~Connection: Upgrade~Upgrade: h2c~~GET /2 HTTP/1.1~Host: a~~"
     And the target answers 200 "first"
     And the target answers 200 "second"
     Then the caller got the answers "first, second"
 
-  Scenario: The body beside a wish to change the protocol is not read as a request
+  Scenario: The body of a request to upgrade the protocol is not parsed as a request
     # Guards against a request that is smuggled inside the body of another.
     Given a caller's connection to a node
     When the caller sends "POST /1 HTTP/1.1~Host: a~Connection: Upgrade~Upgrade: h2c~Content-Length: 33~~GET /inside HTTP/1.1~Host: a~~"
-    Then nothing but "/1" with a body of 33 bytes was passed on
+    Then nothing but "/1" with a body of 33 bytes was forwarded
 
-  Scenario Outline: Answers without a body
+  Scenario Outline: The head of an answer without a body has the right length
     Given a caller's connection to a node
     When the caller sends "<method> / HTTP/1.1~Host: a~~"
     And the target answers <status> with length <length>
@@ -165,75 +165,75 @@
       | GET    | 204    | 7      | none |
       | GET    | 304    | 7      | 7    |
 
-  Scenario: Repeated Set-Cookie headers stay apart
+  Scenario: Repeated Set-Cookie headers are not merged
     Given a caller's connection to a node
     When the caller sends "GET / HTTP/1.1~Host: a~~"
     And the target answers with two Set-Cookie headers
     Then the caller got both Set-Cookie headers
 
-  Scenario: A target cannot speak as a node
-    # A target that calls others through camphorshelf and passes their refusal on would make it
-    # look as if its own work had not run; the caller would send its order again.
+  Scenario: A target's answer cannot contain a node's header on whether the call ran
+    # A target that calls others through camphorshelf and returns their refusal would make it look
+    # as if its own work had not run, and the caller would send its order again.
     Given a caller's connection to a node
     When the caller sends "POST / HTTP/1.1~Host: a~Content-Length: 0~~"
-    And the target answers 503 saying NOT_RUN as a node would
-    Then the caller got the target's answer without a word on whether it ran
+    And the target answers 503 with a node's NOT_RUN header
+    Then the caller got the target's answer without a header on whether it ran
 
-  Scenario: Headers of one connection only are not passed on
+  Scenario: Hop-by-hop headers are not forwarded
     Given request headers named by two Connection headers
-    Then only the end-to-end headers are passed on
+    Then only the end-to-end headers are forwarded
 
-  Scenario: A caller cannot strip what its call is judged by
+  Scenario: A caller cannot use Connection to remove the headers that the nodes depend on
     Given request headers whose Connection names Host, Deadline-Ms and Idempotency-Key
-    Then these three are passed on all the same
+    Then these three are forwarded nevertheless
 
-  Scenario: A slow reader does not pile up answers
-    # The caller pipelines requests and reads nothing. Each answer kept for it costs the node
-    # memory, so the next request waits until the last answer has been taken.
+  Scenario: Answers do not accumulate for a slow reader
+    # The caller pipelines requests and reads nothing. Each buffered answer costs the node memory, so
+    # the next request is forwarded only after the caller has read the previous answer.
     Given a caller's connection to a node
     When the caller takes nothing and sends 5 requests at once
     And the target answers 200 "first"
-    Then no second request was passed on
+    Then no second request was forwarded
     When the caller takes everything
-    Then a second request was passed on
+    Then a second request was forwarded
 
-  Scenario: A reader that takes nothing at all
+  Scenario: The connection of a caller that reads nothing is closed
     Given a caller's connection to a node
     When the caller takes nothing and sends 1 requests at once
     And the target answers 200 "first"
-    And the connection stays so for 40 seconds
+    And the connection stays unchanged for 40 seconds
     Then the connection is closed
 
-  Scenario: A fault inside the node refuses the one call
-    # The code of one call raises. Left to the loop, the caller waits until its deadline; it
-    # must get its numbered refusal at once and the next call must be served.
-    Given a caller's connection to a node whose first call fails inside
+  Scenario: An exception in the handling of a call refuses only that call
+    # If the exception reached the event loop, the caller would wait until its deadline. It must get
+    # a refusal with a result code at once, and the next call must be served.
+    Given a caller's connection to a node whose first call raises an exception
     When the caller sends "GET /1 HTTP/1.1~Host: a~~GET /2 HTTP/1.1~Host: a~~"
     And the target answers 200 "second"
     Then the caller got a refusal with code 109 and then the answer "second"
 
-  Scenario: A fault in a later callback of a call cancels what was sent for it
+  Scenario: An exception in a later callback of a call cancels the call at the target
     Given a caller's connection to a node
     When the caller sends "GET /1 HTTP/1.1~Host: a~~"
-    And a guarded callback of the call fails
+    And a guarded callback of the call raises an exception
     Then the caller is refused with 500 and code 109
     And the call at the target was cancelled
 
-  Scenario: A caller that hangs up cancels its call
+  Scenario: A call is cancelled when its caller closes the connection
     Given a caller's connection to a node
     When the caller sends "GET /1 HTTP/1.1~Host: a~~"
     And the caller hangs up
     Then the call at the target was cancelled
     And a late answer is dropped
 
-  Scenario: The time in the pipeline counts against the deadline
+  Scenario: The time a request waits in the pipeline counts against its deadline
     Given a caller's connection to a node
     When the caller sends "GET /1 HTTP/1.1~Host: a~~GET /2 HTTP/1.1~Host: a~Deadline-Ms: 2000~~"
-    And the connection stays so for 3 seconds
+    And the connection stays unchanged for 3 seconds
     And the target answers 200 "first"
     Then the caller got the answers "first" and then a refusal with code 202
 
-  Scenario: A stopping node lets a connection finish
+  Scenario: A stopping node completes the running call of a connection
     Given a caller's connection to a node
     When the caller sends "GET /1 HTTP/1.1~Host: a~~"
     And the node finishes the connection
@@ -244,4 +244,4 @@
   Scenario: A stopping node closes an idle connection
     Given a caller's connection to a node
     When the node finishes the connection
-    Then the connection ends and nothing was passed on
+    Then the connection ends and nothing was forwarded
--- a/tests/features/entry_load.feature
+++ b/tests/features/entry_load.feature
@@ -1,12 +1,12 @@
 Feature: Decisions of the entry node under load, on simulated time
 
-  Each scenario plays seeded calls over the production code and holds the outcome to a bound; it
-  then takes the part out, or puts a simple policy in its place, and expects the bound to break.
+  Each scenario simulates seeded calls with the production code and checks a bound on the outcome. It
+  then disables a mechanism, or replaces it by a simple policy, and expects the bound to be exceeded.
 
-  Scenario Outline: A load pattern meets the part that answers it
-    # What each pattern does to callers when its part is missing stands beside the pattern in
-    # tests/standins/patterns.py; the bound lies between the two outcomes with room on both sides.
-    When the pattern <pattern> is played
+  Scenario Outline: Under each load pattern a mechanism keeps the outcome within its bound
+    # tests/standins/patterns.py describes what each pattern does to callers without the mechanism.
+    # The bound lies between the two outcomes with a margin on both sides.
+    When the load pattern <pattern> is simulated
     Then <measure> stays <bound>
     But with <without> it does not
 
--- a/tests/features/steps/edge_steps.py
+++ b/tests/features/steps/edge_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play a caller on a fake stream."""
+"""Steps that act as a caller on a fake stream."""
 
 from behave import given, then, when
 
@@ -26,7 +26,7 @@
     connect(context, body_bytes=size)
 
 
-@given("a caller's connection to a node whose first call fails inside")
+@given("a caller's connection to a node whose first call raises an exception")
 def open_failing(context):
     connect(context, failing=1)
 
@@ -56,7 +56,7 @@
 
 
 @when("the caller sends 1 byte each second for {seconds:d} seconds")
-def trickle(context, seconds):
+def send_slowly(context, seconds):
     for _ in range(seconds):
         context.loop.advance(1)
         if not context.stream.closed:
@@ -70,17 +70,17 @@
 
 
 @when("the caller takes nothing and sends {count:d} requests at once")
-def send_taking_nothing(context, count):
+def send_without_reading(context, count):
     context.stream.takes = False
     send_many(context, count)
 
 
 @when("the caller takes everything")
-def take_everything(context):
+def read_everything(context):
     context.stream.drain()
 
 
-@when("the connection stays so for {seconds:d} seconds")
+@when("the connection stays unchanged for {seconds:d} seconds")
 def pass_time(context, seconds):
     context.loop.advance(seconds)
 
@@ -103,21 +103,21 @@
     context.exchanges[0].answer(Response(200, headers, b""))
 
 
-@when("the target answers 503 saying NOT_RUN as a node would")
+@when("the target answers 503 with a node's NOT_RUN header")
 def answer_as_node(context):
     headers = ((b"camphorshelf-ran", b"NOT_RUN"), (b"x-own", b"1"))
     context.exchanges[0].answer(Response(503, headers, b"no"))
 
 
-@then("the caller got the target's answer without a word on whether it ran")
-def check_no_word(context):
+@then("the caller got the target's answer without a header on whether it ran")
+def check_no_ran_header(context):
     (only,) = read_answers(context)
     assert only.status == 503, only
     assert "camphorshelf-ran" not in only.headers, only
     assert only.headers["x-own"] == "1", only
 
 
-@when("a guarded callback of the call fails")
+@when("a guarded callback of the call raises an exception")
 def fail_callback(context):
     def callback():
         raise RuntimeError("a fault for this test")
@@ -143,8 +143,8 @@
     assert answers[0].headers["camphorshelf-code"] == str(code), answers
 
 
-@then("the connection ends and nothing was passed on")
-def check_nothing_passed(context):
+@then("the connection ends and nothing was forwarded")
+def check_nothing_forwarded(context):
     assert context.stream.ending
     assert context.exchanges == []
 
@@ -171,7 +171,7 @@
 
 
 @then("the connection is closed and nothing was sent")
-def check_silent(context):
+def check_closed_without_answer(context):
     assert context.stream.closed
     assert context.stream.sent == b""
 
@@ -184,7 +184,7 @@
 @then("reading is held back with at most {count:d} requests waiting")
 def check_held_back(context, count):
     assert context.stream.paused
-    # One piece of 1,024 bytes may hold more small requests than may wait.
+    # A single read of 1,024 bytes may hold more small requests than may wait.
     assert len(context.connection._waiting) <= count + 1_024 // 28
 
 
@@ -204,23 +204,23 @@
     assert context.stream.sent == b""
 
 
-@then("the last that was sent is 100 Continue")
+@then("100 Continue was sent last")
 def check_continue(context):
     assert context.stream.sent.endswith(b"first" + b"HTTP/1.1 100 Continue\r\n\r\n")
 
 
-@then('the request passed on last is POST with body "{body}"')
-def check_passed_on(context, body):
+@then('the last forwarded request is POST with body "{body}"')
+def check_forwarded(context, body):
     request = context.exchanges[-1].request
     assert request.method == "POST"
     assert request.body == body.encode(), request
 
 
-@then('nothing but "{path}" with a body of {size:d} bytes was passed on')
-def check_only_passed(context, path, size):
-    passed = [(one.request.path.decode(), len(one.request.body)) for one in context.exchanges]
-    # A refusal is as good: then nothing was passed on at all.
-    assert passed in ([], [(path, size)]), passed
+@then('nothing but "{path}" with a body of {size:d} bytes was forwarded')
+def check_only_forwarded(context, path, size):
+    forwarded = [(one.request.path.decode(), len(one.request.body)) for one in context.exchanges]
+    # A refusal passes as well: then nothing was forwarded.
+    assert forwarded in ([], [(path, size)]), forwarded
 
 
 @then("it has no header {name}")
@@ -256,13 +256,13 @@
     )
 
 
-@then("only the end-to-end headers are passed on")
+@then("only the end-to-end headers are forwarded")
 def check_end_to_end(context):
     assert strip_hop_by_hop(context.headers) == ((b"x-three", b"3"),)
 
 
 @given("request headers whose Connection names Host, Deadline-Ms and Idempotency-Key")
-def make_judged_headers(context):
+def make_protected_headers(context):
     context.headers = (
         (b"connection", b"Host, Deadline-Ms, Idempotency-Key"),
         (b"host", b"orders"),
@@ -271,18 +271,18 @@
     )
 
 
-@then("these three are passed on all the same")
-def check_judged(context):
+@then("these three are forwarded nevertheless")
+def check_protected(context):
     assert strip_hop_by_hop(context.headers) == context.headers[1:]
 
 
-@then("no second request was passed on")
-def check_one_passed(context):
+@then("no second request was forwarded")
+def check_one_forwarded(context):
     assert len(context.exchanges) == 1
 
 
-@then("a second request was passed on")
-def check_two_passed(context):
+@then("a second request was forwarded")
+def check_two_forwarded(context):
     assert len(context.exchanges) == 2
 
 
@@ -292,7 +292,7 @@
 
 
 @then("a late answer is dropped")
-def check_late(context):
+def check_late_dropped(context):
     context.exchanges[0].answer(Response(200, (), b"late"))
     assert context.stream.sent == b""
 
@@ -303,7 +303,7 @@
 
 
 @then("the answer says that the connection closes, and it ends")
-def check_ending(context):
+def check_announced_close(context):
     (only,) = read_answers(context)
     assert only.headers["connection"] == "close", only
     assert context.stream.ending
--- a/tests/features/steps/entry_path_steps.py
+++ b/tests/features/steps/entry_path_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the entry node's decisions, with real processes."""
+"""Steps about the entry node's decisions, with separate processes."""
 
 import json
 
@@ -11,7 +11,7 @@
     return call(context.deployment.nodes[node].callers, "GET", service, path)
 
 
-def tell_target(context, name, path):
+def control_target(context, name, path):
     address = context.deployment.nodes[name].target
     assert call(address, "GET", "target", path).status == 200
 
@@ -27,12 +27,12 @@
 
 @given("target {name} fails every call")
 def fail_target(context, name):
-    tell_target(context, name, "/_fail/503")
-    context.add_cleanup(tell_target, context, name, "/_fail/none")
+    control_target(context, name, "/_fail/503")
+    context.add_cleanup(control_target, context, name, "/_fail/none")
 
 
-@given("node {node} has learned the usual time of lookups")
-def learn(context, node):
+@given("node {node} has measured the usual time of lookups")
+def measure_lookups(context, node):
     answers = [lookup(context, node, "counter") for _ in range(60)]
     assert {answer.status for answer in answers} == {200}
 
@@ -44,13 +44,13 @@
 
 @when("target {name} hangs and {count:d} lookups are sent to node {node}")
 def send_to_hanging(context, name, count, node):
-    tell_target(context, name, "/_factor/1000")
-    context.add_cleanup(tell_target, context, name, "/_factor/1")
+    control_target(context, name, "/_factor/1000")
+    context.add_cleanup(control_target, context, name, "/_factor/1")
     send_lookups(context, count, node)
 
 
-@when("nodes {first}, {second} and {third} each send {count:d} lookups for single by turns")
-def send_by_turns(context, first, second, third, count):
+@when("nodes {first}, {second} and {third} in turn send {count:d} lookups each for single")
+def send_in_turn(context, first, second, third, count):
     nodes = (first, second, third)
     context.answers = [lookup(context, node, "single") for _ in range(count) for node in nodes]
 
@@ -61,7 +61,7 @@
     assert set(statuses) == {200}, statuses
 
 
-@then("node {node} has tried {least:d} to {most:d} of them again")
+@then("node {node} has retried {least:d} to {most:d} of them")
 def check_retries(context, node, least, most):
     assert least <= read_metric(context, node, "camphorshelf_entry_retries") <= most
 
@@ -79,9 +79,9 @@
     context.deployment.wait_until(is_idle)
 
 
-@then("node {node} comes to have at most {count:d} links")
+@then("node {node} has at most {count:d} links after some time")
 def check_links(context, node, count):
-    def is_below():
+    def is_within_limit():
         return read_metric(context, node, "camphorshelf_peer_links") <= count
 
-    context.deployment.wait_until(is_below)
+    context.deployment.wait_until(is_within_limit)
