--- a/tests/features/steps/evacuation_steps.py
+++ b/tests/features/steps/evacuation_steps.py
@@ -37,14 +37,14 @@
 _ROW_VALUE = b"{}"
 
 
-class _Log:
+class _FakeLog:
     def notable(self, event, **fields):
-        """Take no note."""
+        """Ignore the event."""
 
     routine = notable
 
 
-class _Peers:
+class _FakePeers:
     def __init__(self):
         self.directory = HostDirectory()
         self.calls = []
@@ -53,71 +53,76 @@
         return SimpleNamespace(call=lambda message, on_done: self.calls.append((message, on_done)))
 
     def announce_changes(self):
-        """Nobody is there."""
+        """Do nothing: there are no peers."""
 
 
-def _make_keeper():
-    keeper = ConfigSynchronizer(
-        FakeLoop(), SETTINGS, None, _Peers(), READERS, random.Random(1), _Log()
+def _make_synchronizer():
+    synchronizer = ConfigSynchronizer(
+        FakeLoop(), SETTINGS, None, _FakePeers(), READERS, random.Random(1), _FakeLog()
     )
-    keeper.table_name, keeper.row_key = "op", "config"
-    return keeper
+    synchronizer.table_name, synchronizer.row_key = "op", "config"
+    return synchronizer
 
 
-def _show(keeper, version, domains, value=_ROW_VALUE):
+def _show(synchronizer, version, domains, value=_ROW_VALUE):
     rows = [StoredRow(f"evacuate/{domain}", value, version) for domain in domains]
-    keeper._on_read(StoreRows(tuple(rows), version=version))
+    synchronizer._on_read(StoreRows(tuple(rows), version=version))
 
 
-def _known(keeper):
-    return sorted(keeper.evacuations.current.domains)
+def _known_domains(synchronizer):
+    return sorted(synchronizer.evacuations.current.domains)
 
 
 @given('a node in failure domain "{domain}"')
 @given('a node in failure domain "{domain}" that has just been started')
 def give_node(context, domain):
     assert domain == SETTINGS.domain
-    context.keeper = _make_keeper()
+    context.synchronizer = _make_synchronizer()
 
 
 @when('the store shows at version {version:d} that "{domain}" is evacuated')
 def show_one(context, version, domain):
-    _show(context.keeper, version, [domain])
+    _show(context.synchronizer, version, [domain])
 
 
-@when('the store shows at version {version:d} that "{domain}" is evacuated by a row of bad bytes')
-def show_bad(context, version, domain):
-    _show(context.keeper, version, [domain], b"\xff\x00{")
+@when(
+    'the store shows at version {version:d} that "{domain}" is evacuated by a row with an invalid '
+    "value"
+)
+def show_invalid(context, version, domain):
+    _show(context.synchronizer, version, [domain], b"\xff\x00{")
 
 
 @when('the store shows at version {version:d} that "{domain}" and "" are evacuated')
-def show_nameless(context, version, domain):
-    _show(context.keeper, version, [domain, ""])
+def show_unnamed(context, version, domain):
+    _show(context.synchronizer, version, [domain, ""])
 
 
 @when("the store shows at version {version:d} that nothing is evacuated")
 def show_none(context, version):
-    _show(context.keeper, version, [])
+    _show(context.synchronizer, version, [])
 
 
 @then('it knows that "{domain}" is evacuated')
 def check_one(context, domain):
-    assert _known(context.keeper) == [domain], _known(context.keeper)
+    assert _known_domains(context.synchronizer) == [domain], _known_domains(context.synchronizer)
 
 
 @then('it knows that "{first}" and "{second}" are evacuated')
 def check_two(context, first, second):
-    assert _known(context.keeper) == [first, second], _known(context.keeper)
+    assert _known_domains(context.synchronizer) == [first, second], _known_domains(
+        context.synchronizer
+    )
 
 
 @then("it knows that nothing is evacuated")
 def check_none(context):
-    assert _known(context.keeper) == [], _known(context.keeper)
+    assert _known_domains(context.synchronizer) == [], _known_domains(context.synchronizer)
 
 
-@then("it tells others of version {version:d}")
-def check_told(context, version):
-    assert context.keeper.evacuations.current.changed_at == version
+@then("it announces version {version:d}")
+def check_announced(context, version):
+    assert context.synchronizer.evacuations.current.changed_at == version
 
 
 @given(
@@ -125,7 +130,7 @@
     '"{first}" and "{second}" are evacuated'
 )
 def give_other_two(context, version, first, second):
-    context.other = _make_keeper()
+    context.other = _make_synchronizer()
     _show(context.other, version, [first, second])
 
 
@@ -133,7 +138,7 @@
     'another node to which the store has shown at version {version:d} that "{domain}" is evacuated'
 )
 def give_other(context, version, domain):
-    context.other = _make_keeper()
+    context.other = _make_synchronizer()
     _show(context.other, version, [domain])
 
 
@@ -146,18 +151,18 @@
     _show(context.other, version, [])
 
 
-@when("the node hears the other one's status")
-def hear_other(context):
-    keeper, other = context.keeper, context.other
+@when("the node receives the other one's status")
+def receive_status(context):
+    synchronizer, other = context.synchronizer, context.other
     version = other.evacuations.current.changed_at
     status = make_status("h2", config_version=0, evacuation_version=version)
-    keeper._peers.directory.apply_status(status, keeper._loop.now())
-    keeper.on_peer_status(keeper._peers.directory.view("h2"))
+    synchronizer._peers.directory.apply_status(status, synchronizer._loop.now())
+    synchronizer.on_peer_status(synchronizer._peers.directory.view("h2"))
 
 
-@then("it fetches what the other one knows")
+@then("it fetches the other one's evacuations")
 def check_fetch(context):
-    ((message, on_done),) = context.keeper._peers.calls
+    ((message, on_done),) = context.synchronizer._peers.calls
     answers = []
     context.other.answer_peer(message, answers.append)
     on_done(decode(encode(answers[0])))
@@ -165,64 +170,66 @@
 
 @then("it fetches nothing")
 def check_no_fetch(context):
-    assert not context.keeper._peers.calls
+    assert not context.synchronizer._peers.calls
 
 
 @when('another node sends it its configuration and that "{domain}" is evacuated')
 def send_both(context, domain):
-    other = _make_keeper()
+    other = _make_synchronizer()
     _show(other, 10, [domain])
     document = make_document(7, {"/a/": {"service": "counter", "timeout_s": 1.0}})
     other._apply_rows((StoredRow("config", _dump(document)),))
-    keeper, context.known = context.keeper, []
-    keeper.on_change(lambda config: context.known.append(_known(keeper)))
+    synchronizer, context.known_domains = context.synchronizer, []
+    synchronizer.on_change(
+        lambda config: context.known_domains.append(_known_domains(synchronizer))
+    )
     answers = []
     other.answer_peer(SimpleNamespace(version=0), answers.append)
     assert isinstance(answers[0], ConfigReplyMessage)
-    keeper._on_reply(answers[0], None)
+    synchronizer._on_reply(answers[0], None)
     context.domain = domain
 
 
 @then("it knew of the evacuation when its configuration came into force")
-def check_order(context):
-    assert context.known == [[context.domain]], context.known
+def check_known_first(context):
+    assert context.known_domains == [[context.domain]], context.known_domains
 
 
-class _Streams:
-    """Connections to a target that open after a time, and answer when the test says so."""
+class _FakeStreams:
+    """Fake connections to a target that open after a delay; the test feeds their answers."""
 
-    def __init__(self, loop, opening_s):
+    def __init__(self, loop, open_delay_s):
         self._loop = loop
-        self._opening_s = opening_s
+        self._open_delay_s = open_delay_s
         self.opened = []
 
     def dial(self, _loop, _address):
         stream = FakeStream()
         self.opened.append(stream)
-        self._loop.call_later(self._opening_s, lambda: stream.closed or stream.on_connect())
+        self._loop.call_later(self._open_delay_s, lambda: stream.closed or stream.on_connect())
         return stream
 
 
-def _make_gate(context, opening_s=0.001):
+def _make_admission_controller(context, open_delay_s=0.001):
     loop = context.loop = FakeLoop()
-    context.streams = _Streams(loop, opening_s)
+    context.streams = _FakeStreams(loop, open_delay_s)
     patch = mock.patch.object(targetpool, "dial", context.streams.dial)
     patch.start()
     context.add_cleanup(patch.stop)
     admission = AdmissionQueue()
-    context.target = Target(loop, SETTINGS, HEADER_CODEC, admission, _Log())
-    crashes = CrashTracker(loop, "a", _Log())
-    context.gate = AdmissionController(
-        loop, SETTINGS, HEADER_CODEC, admission, context.target, crashes, _Log()
+    context.target = Target(loop, SETTINGS, HEADER_CODEC, admission, _FakeLog())
+    crashes = CrashTracker(loop, "a", _FakeLog())
+    context.admission_controller = AdmissionController(
+        loop, SETTINGS, HEADER_CODEC, admission, context.target, crashes, _FakeLog()
     )
-    # Without a health path it is not probed, so that only requests open connections.
+    # Without a health path the target is not probed, so that only requests open connections.
     context.target.configure(ServiceSettings(""))
     context.target._probe.configure(None, may_be_cold=False)
     context.target.handle_heartbeat(Heartbeat("i-1", 1, 1, "counter", "127.0.0.1:1", 9, False, 0.0))
     context.answers = []
 
 
-def _let_in(context, name, left_s=5.0):
+def _submit(context, name, left_s=5.0):
     message = RelayMessage(
         call_id=0,
         sent_at=0.0,
@@ -240,40 +247,42 @@
         headers=(),
         body=b"",
     )
-    context.gate.submit(message, lambda answer: context.answers.append((name, answer)))
+    context.admission_controller.submit(
+        message, lambda answer: context.answers.append((name, answer))
+    )
     context.loop.advance(0.01)
 
 
-def _sent(context):
+def _written_streams(context):
     return [stream for stream in context.streams.opened if stream.sent]
 
 
-@given("a target that takes work and runs {count:d} requests with {slots:d} slots")
+@given("a target that accepts requests and runs {count:d} requests with {slots:d} slots")
 def give_running(context, count, slots):
-    _make_gate(context)
+    _make_admission_controller(context)
     for number in range(count):
-        _let_in(context, f"run-{number}")
-    assert context.gate.admission.running == count
-    assert context.gate.admission.slots == slots
+        _submit(context, f"run-{number}")
+    assert context.admission_controller.admission.running == count
+    assert context.admission_controller.admission.slots == slots
 
 
 @given("{count:d} more requests are queued")
 def queue_more(context, count):
     for number in range(count):
-        _let_in(context, f"queued-{number}")
-    assert context.gate.admission.queued == count
+        _submit(context, f"queued-{number}")
+    assert context.admission_controller.admission.queued == count
     context.queued = count
 
 
-@given("a target that takes work whose connections open after {seconds:f} s")
-def give_slow_opening(context, seconds):
-    _make_gate(context, seconds)
+@given("a target that accepts requests whose connections open after {seconds:f} s")
+def give_slow_connections(context, seconds):
+    _make_admission_controller(context, seconds)
 
 
-@when("a request is let in")
-def let_one_in(context):
-    _let_in(context, "late")
-    assert context.gate.admission.running == 1
+@when("a request is admitted")
+def admit_one(context):
+    _submit(context, "late")
+    assert context.admission_controller.admission.running == 1
 
 
 @when("its failure domain is evacuated")
@@ -281,42 +290,42 @@
     context.target.set_evacuated(True)
 
 
-@when("the evacuation is taken back")
-def take_back(context):
+@when("the evacuation is ended")
+def end_evacuation(context):
     context.target.set_evacuated(False)
 
 
-@when("the target's connections have had {seconds:f} s")
+@when("{seconds:f} s pass for the target's connections")
 def pass_time(context, seconds):
     context.loop.advance(seconds)
 
 
-@then("it takes no work, and what is offered is declined as not run")
-def check_takes_none(context):
+@then("it accepts no requests, and an offered one is declined as not run")
+def check_not_accepting(context):
     assert not context.target.accepting
-    _let_in(context, "offered")
+    _submit(context, "offered")
     name, answer = context.answers[-1]
     assert name == "offered" and isinstance(answer, RelayRefusedMessage)
     assert answer.ran == Ran.NOT_RUN.value
 
 
-@then("the {count:d} requests run to their end")
-def check_run_on(context, count):
-    for number, stream in enumerate(_sent(context)):
+@then("the {count:d} running requests are completed")
+def check_completed(context, count):
+    for number, stream in enumerate(_written_streams(context)):
         _answer(stream, f"run-{number}")
     context.loop.advance(0.01)
     relayed = [answer for _, answer in context.answers if isinstance(answer, RelayAnswerMessage)]
     assert len(relayed) == count, context.answers
 
 
-@then("it takes work")
-def check_takes(context):
+@then("it accepts requests")
+def check_accepting(context):
     assert context.target.accepting
 
 
-@when("{count:d} of the requests that run ends")
+@when("{count:d} of the running requests ends")
 def end_some(context, count):
-    for number, stream in enumerate(_sent(context)[:count]):
+    for number, stream in enumerate(_written_streams(context)[:count]):
         _answer(stream, f"run-{number}")
     context.loop.advance(0.01)
 
@@ -329,65 +338,73 @@
 
 
 @then("the request was declined as not run and never sent")
-def check_late_declined(context):
+def check_unsent_declined(context):
     ((name, answer),) = context.answers
     assert isinstance(answer, RelayRefusedMessage) and answer.ran == Ran.NOT_RUN.value
     _check_never_sent(context, name)
 
 
-@when("its node ends within {seconds:f} s")
-def end_node(context, seconds):
-    context.gate.set_shutdown_time(context.loop.now() + seconds)
+@when("its node shuts down in {seconds:f} s")
+def shut_down_node(context, seconds):
+    context.admission_controller.set_shutdown_time(context.loop.now() + seconds)
 
 
-@then("a request whose caller waits for {seconds:f} s is let in")
-def check_let_in(context, seconds):
-    before = context.gate.admission.running
-    _let_in(context, "short", seconds)
-    assert context.gate.admission.running == before + 1
+@then("a request whose caller waits for {seconds:f} s is admitted")
+def check_admitted(context, seconds):
+    before = context.admission_controller.admission.running
+    _submit(context, "short", seconds)
+    assert context.admission_controller.admission.running == before + 1
 
 
 @then("a request whose caller waits for {seconds:f} s is declined as not run")
 def check_declined(context, seconds):
-    _let_in(context, "long", seconds)
+    _submit(context, "long", seconds)
     name, answer = context.answers[-1]
     assert name == "long" and answer.ran == Ran.NOT_RUN.value
     _check_never_sent(context, "long")
 
 
-@given('an entry node that has heard of targets in "{first}" and "{second}"')
+@given('an entry node that knows of targets in "{first}" and "{second}"')
 def give_entry(context, first, second):
-    context.keeper = _make_keeper()
-    loop, peers = context.keeper._loop, context.keeper._peers
+    context.synchronizer = _make_synchronizer()
+    loop, peers = context.synchronizer._loop, context.synchronizer._peers
     for domain in (first, second):
         for number in range(3):
             status = make_status(f"{domain}:{number}", domain=domain)
             peers.directory.apply_status(status, loop.now())
     settings = SETTINGS._replace(service="desk")
     context.router = Router(
-        loop, settings, HEADER_CODEC, context.keeper, peers, None, None, random.Random(1), _Log()
+        loop,
+        settings,
+        HEADER_CODEC,
+        context.synchronizer,
+        peers,
+        None,
+        None,
+        random.Random(1),
+        _FakeLog(),
     )
     assert len(context.router.list_targets("counter")) == 6
 
 
 @when('the entry node knows that "{first}" and "{second}" are evacuated')
 def entry_knows_two(context, first, second):
-    _show(context.keeper, 11, [first, second])
+    _show(context.synchronizer, 11, [first, second])
 
 
 @when('the entry node knows that "{domain}" is evacuated')
 def entry_knows(context, domain):
-    _show(context.keeper, 10, [domain])
+    _show(context.synchronizer, 10, [domain])
 
 
 @then('it chooses among the targets in "{domain}" only')
-def check_views(context, domain):
+def check_targets(context, domain):
     domains = [view.status.domain for view in context.router.list_targets("counter")]
     assert domains == [domain] * 3, domains
 
 
 @then("it finds no target")
-def check_no_views(context):
+def check_no_targets(context):
     assert context.router.list_targets("counter") == []
 
 
