--- a/tests/features/admission.feature
+++ b/tests/features/admission.feature
@@ -10,7 +10,7 @@
     When it is simulated with our policy
     Then 50 calls are served and 30 are refused on arrival
     When it is simulated with the baseline policy
-    Then at least 15 calls fewer are served
+    Then at least 15 fewer calls are served
 
   Scenario: One caller that sends most of the load does not crowd out the others
     # One caller sends 19 of 20 calls, and the load is twice the capacity. The other 20 callers stay
@@ -62,7 +62,7 @@
     When it is simulated with our policy
     Then the target is never idle and 99 in 100 answers come within 16 ms
     When it is simulated with the sojourn replaced by the baseline
-    Then 99 in 100 answers come only within 30 ms or more
+    Then the 99th percentile of answer times is at least 30 ms
 
   Scenario: A call that cannot meet its deadline is not started
     # Calls of 5 ms with a deadline of 12 ms, at twice the capacity. A call that starts too late
@@ -88,7 +88,7 @@
     Then during the contention 99 in 100 answers come within 70 ms
     And a second after the contention ends every call is served again
     When it is simulated with the limit replaced by the baseline
-    Then during the contention 99 in 100 answers come only within 90 ms or more
+    Then during the contention the 99th percentile of answer times is at least 90 ms
 
   Scenario: A target that waits for a slow dependency keeps its concurrency limit
     # Each call takes three times as long at any concurrency: a lower limit would only cost
--- a/tests/features/claims_model.feature
+++ b/tests/features/claims_model.feature
@@ -50,5 +50,5 @@
   Scenario: A read from before a waiter joined does not prove that its call has not run
     # A node takes over a void claim. Another node takes it over first and runs the call. Only then
     # does a second caller join the first node's attempt, to which all answers are lost.
-    When a waiter joins a takeover that another node has won and run
+    When a waiter joins a takeover after another node has taken over and run the call
     Then the waiter is told OUTCOME_UNKNOWN, and NOT_RUN if the safeguard is removed
--- a/tests/features/config_reads.feature
+++ b/tests/features/config_reads.feature
@@ -1,4 +1,4 @@
-Feature: A poller polls the store for a new configuration often enough, without other nodes
+Feature: Nodes poll the store for a new configuration often enough and fetch it from each other
 
   Scenario: The interval between polls has an upper bound
     # Guards against a change that comes into force too late when only one poller is left.
--- a/tests/features/edge.feature
+++ b/tests/features/edge.feature
@@ -171,7 +171,7 @@
     And the target answers with two Set-Cookie headers
     Then the caller got both Set-Cookie headers
 
-  Scenario: A target's answer cannot contain a node's header on whether the call ran
+  Scenario: A node's header on whether the call ran is removed from a target's answer
     # A target that calls others through camphorshelf and returns their refusal would make it look
     # as if its own work had not run, and the caller would send its order again.
     Given a caller's connection to a node
--- a/tests/features/entry_load.feature
+++ b/tests/features/entry_load.feature
@@ -1,7 +1,7 @@
 Feature: Decisions of the entry node under load, on simulated time
 
   Each scenario simulates seeded calls with the production code and checks a bound on the outcome. It
-  then disables a mechanism, or replaces it by a simple policy, and expects the bound to be exceeded.
+  then disables a mechanism, or replaces it by a simple policy, and expects the bound to be violated.
 
   Scenario Outline: Under each load pattern a mechanism keeps the outcome within its bound
     # tests/standins/patterns.py describes what each pattern does to callers without the mechanism.
--- a/tests/features/steps/admission_queue_steps.py
+++ b/tests/features/steps/admission_queue_steps.py
@@ -7,12 +7,12 @@
 from camphorshelf_core.admissionqueue import AdmissionQueue
 from camphorshelf_core.jobs import Job, JobState, LatePolicy
 
-_WORK = 0.1
-_OBJECTIVE = 0.3
-_DEADLINE = 1.2
+_WORK_S = 0.1
+_OBJECTIVE_S = 0.3
+_DEADLINE_S = 1.2
 
 
-class Play:
+class TargetSimulation:
     """Simulates a target that runs the requests its admission queue admits.
 
     The clock advances only by :meth:`advance`.
@@ -21,7 +21,7 @@
     def __init__(self, slots):
         self.now = 0.0
         self.admission = AdmissionQueue(slots)
-        self.admission.work_s = _WORK
+        self.admission.work_s = _WORK_S
         self.started = []
         self.shed = []
         self.rejected = []
@@ -35,10 +35,10 @@
         self,
         name,
         priority=2,
-        objective=_OBJECTIVE,
+        objective=_OBJECTIVE_S,
         late_policy=LatePolicy.REJECT,
-        work=_WORK,
-        left=_DEADLINE,
+        work=_WORK_S,
+        left=_DEADLINE_S,
     ):
         job = Job(
             priority,
@@ -70,88 +70,92 @@
 
     def _start(self, name, job):
         self.started.append(name)
-        end = self.now + (job.work_s if self.is_mixed else _WORK)
+        end = self.now + (job.work_s if self.is_mixed else _WORK_S)
         heapq.heappush(self._ends, (end, len(self.started), name, job))
 
 
 @given("a target with {slots:d} slots")
-def target(context, slots):
-    context.play = Play(slots)
+def make_target(context, slots):
+    context.simulation = TargetSimulation(slots)
 
 
 @given("{count:d} requests of 100 ms with priority 2 that came first")
 @when("{count:d} requests come at once")
 def arrive_at_once(context, count):
-    context.jobs = [context.play.offer(number) for number in range(count)]
+    context.jobs = [context.simulation.offer(number) for number in range(count)]
 
 
 @given("{count:d} requests of 100 ms with priority 2 and {objective:f} s that came first")
 def arrive_with_objective(context, count, objective):
-    context.jobs = [context.play.offer(number, objective=objective) for number in range(count)]
+    context.jobs = [
+        context.simulation.offer(number, objective=objective) for number in range(count)
+    ]
 
 
 @when("{rate:d} requests a second come for 10 s")
 def arrive_steadily(context, rate):
     for number in range(rate * 10):
-        context.play.advance(number / rate)
-        context.play.offer(number)
-    context.play.advance(20.0)
+        context.simulation.advance(number / rate)
+        context.simulation.offer(number)
+    context.simulation.advance(20.0)
     context.offered_s = 10.0
 
 
 @when("a request with {milliseconds:d} ms left comes")
 def arrive_near_deadline(context, milliseconds):
-    context.play.offer("short", objective=milliseconds / 1000, left=milliseconds / 1000)
+    context.simulation.offer("short", objective=milliseconds / 1000, left=milliseconds / 1000)
 
 
 @when("a request with priority 0 comes")
 def arrive_urgent(context):
-    context.play.offer("urgent", priority=0)
+    context.simulation.offer("urgent", priority=0)
 
 
 @when("the target becomes {factor:d} times slower")
 def slow_down(context, factor):
-    context.play.admission.slowness = float(factor)
-    context.play.admission.shed_late(context.play.now)
+    context.simulation.admission.slowness = float(factor)
+    context.simulation.admission.shed_late(context.simulation.now)
 
 
 @when("{count:d} late requests whose objective has passed come")
 def arrive_late(context, count):
     for number in range(count):
-        context.play.offer(1000 + number, objective=0.0, late_policy=LatePolicy.QUEUE)
+        context.simulation.offer(1000 + number, objective=0.0, late_policy=LatePolicy.QUEUE)
 
 
 @when("{count:d} late requests of 40 ms whose objective has passed come")
 def late_calls(context, count):
     for number in range(count):
-        context.play.offer(1000 + number, objective=0.0, late_policy=LatePolicy.QUEUE, work=0.04)
+        context.simulation.offer(
+            1000 + number, objective=0.0, late_policy=LatePolicy.QUEUE, work=0.04
+        )
 
 
 @when("admission is closed")
 def close(context):
-    context.play.admission.close(context.play.now)
+    context.simulation.admission.close(context.simulation.now)
 
 
 @when("the first one that is queued is cancelled")
 def cancel_first_queued(context):
     queued = [job for job in context.jobs if job.state is JobState.QUEUED]
-    assert context.play.admission.cancel(queued[0])
+    assert context.simulation.admission.cancel(queued[0])
 
 
 @when("one that runs is finished")
 def finish_one(context):
     running = [job for job in context.jobs if job.state is JobState.RUNNING]
-    context.play.admission.finish(running[0], context.play.now)
+    context.simulation.admission.finish(running[0], context.simulation.now)
 
 
 @when("the target has worked off the queue")
 def work_off_queue(context):
-    context.play.advance(context.play.now + 10.0)
+    context.simulation.advance(context.simulation.now + 10.0)
 
 
 @then("{running:d} run and {waiting:d} are queued")
 def check_counts(context, running, waiting):
-    admission = context.play.admission
+    admission = context.simulation.admission
     assert (admission.running, admission.queued) == (running, waiting), (
         admission.running,
         admission.queued,
@@ -160,99 +164,101 @@
 
 @then("{count:d} were rejected, each with its expected wait")
 def check_rejected(context, count):
-    assert len(context.play.rejected) == count, len(context.play.rejected)
-    assert all(wait > 0.1 for _, wait in context.play.rejected)
+    assert len(context.simulation.rejected) == count, len(context.simulation.rejected)
+    assert all(wait > 0.1 for _, wait in context.simulation.rejected)
 
 
 @then("every request that was admitted is answered within its objective")
 def check_all_in_time(context):
-    play = context.play
-    assert not play.shed
-    assert all(end <= job.objective_at + 1e-6 for _, end, job in play.finished)
+    simulation = context.simulation
+    assert not simulation.shed
+    assert all(end <= job.objective_at + 1e-6 for _, end, job in simulation.finished)
 
 
 @then("at least {percent:d} in 100 of those admitted are answered within their objective")
 def check_mostly_in_time(context, percent):
-    play = context.play
-    admitted = len(play.finished) + len(play.shed)
-    in_time = sum(end <= job.objective_at + 1e-6 for _, end, job in play.finished)
+    simulation = context.simulation
+    admitted = len(simulation.finished) + len(simulation.shed)
+    in_time = sum(end <= job.objective_at + 1e-6 for _, end, job in simulation.finished)
     assert in_time >= admitted * percent / 100, (in_time, admitted)
 
 
 @then("the target is busy at least {percent:d} in 100 of the time")
 def check_busy(context, percent):
-    assert context.play.busy_s >= context.offered_s * percent / 100, context.play.busy_s
+    assert context.simulation.busy_s >= context.offered_s * percent / 100, context.simulation.busy_s
 
 
 @then("it starts before any of the queued ones")
 def check_starts_first(context):
-    context.play.advance(10.0)
-    assert context.play.started[7] == "urgent", context.play.started
+    context.simulation.advance(10.0)
+    assert context.simulation.started[7] == "urgent", context.simulation.started
 
 
 @then("at least {count:d} queued requests are shed at once")
-def shed(context, count):
-    assert len(context.play.shed) >= count, context.play.shed
+def check_shed(context, count):
+    assert len(context.simulation.shed) >= count, context.simulation.shed
 
 
 @then("{count:d} of them are queued")
 def check_late_queued(context, count):
-    refused = [name for name, _ in context.play.rejected if name >= 1000]
+    refused = [name for name, _ in context.simulation.rejected if name >= 1000]
     assert len(refused) == 10 - count, refused
 
 
 @then("the late ones are answered last")
 def check_late_last(context):
-    names = [name for name, _, _ in context.play.finished]
+    names = [name for name, _, _ in context.simulation.finished]
     assert all(name >= 1000 for name in names[-4:]), names
 
 
 @then("every queued request was shed")
 def check_all_shed(context):
-    assert len(context.play.shed) == 13, context.play.shed
+    assert len(context.simulation.shed) == 13, context.simulation.shed
 
 
 @then("no request that comes later is admitted")
 def check_none_admitted(context):
-    before = len(context.play.rejected)
-    context.play.offer("later")
-    assert len(context.play.rejected) == before + 1
+    before = len(context.simulation.rejected)
+    context.simulation.offer("later")
+    assert len(context.simulation.rejected) == before + 1
 
 
-_ORDER = {"priority": 1, "objective": 0.6, "left": 1.2, "work": 0.21}
-_CALL = {"priority": 1, "objective": 0.15, "left": 0.5, "work": 0.04}
+_ORDER_OPTIONS = {"priority": 1, "objective": 0.6, "left": 1.2, "work": 0.21}
+_CALL_OPTIONS = {"priority": 1, "objective": 0.15, "left": 0.5, "work": 0.04}
 
 
 @given("a target with {slots:d} slots that runs orders of 210 ms and calls of 40 ms")
 @given("a target with {slots:d} slots that runs only calls of 40 ms")
 @given("a target with {slots:d} slots that runs uploads, urgent lookups and calls")
-def mixed_target(context, slots):
-    context.play = Play(slots)
-    context.play.is_mixed = True
+def make_mixed_target(context, slots):
+    context.simulation = TargetSimulation(slots)
+    context.simulation.is_mixed = True
 
 
 def _offer_mixed(context, rates, seconds):
-    play, context.offered = context.play, []
+    simulation, context.offered = context.simulation, []
     arrivals = [
         (number / rate, kind, options)
         for kind, rate, options in rates
         for number in range(rate * seconds)
     ]
     for moment, kind, options in sorted(arrivals, key=lambda one: one[0]):
-        play.advance(moment)
+        simulation.advance(moment)
         context.offered.append((kind, moment))
-        play.offer((kind, moment), late_policy=LatePolicy.QUEUE, **options)
-    play.advance(seconds + 5.0)
+        simulation.offer((kind, moment), late_policy=LatePolicy.QUEUE, **options)
+    simulation.advance(seconds + 5.0)
 
 
 def _answer_times(context, kind):
-    return [end - name[1] for name, end, _ in context.play.finished if name[0] == kind]
+    return [end - name[1] for name, end, _ in context.simulation.finished if name[0] == kind]
 
 
 @when("{orders:d} orders a second and {calls:d} calls a second come for {seconds:d} s")
 def offer_orders_and_calls(context, orders, calls, seconds):
     context.seconds = seconds
-    _offer_mixed(context, (("order", orders, _ORDER), ("call", calls, _CALL)), seconds)
+    _offer_mixed(
+        context, (("order", orders, _ORDER_OPTIONS), ("call", calls, _CALL_OPTIONS)), seconds
+    )
 
 
 @when(
@@ -270,7 +276,7 @@
 
 @when("{calls:d} calls a second come for {seconds:d} s")
 def offer_calls(context, calls, seconds):
-    _offer_mixed(context, (("call", calls, _CALL),), seconds)
+    _offer_mixed(context, (("call", calls, _CALL_OPTIONS),), seconds)
 
 
 @then("at least {percent:d} in 100 of the {kind}s are answered within {milliseconds:d} ms")
@@ -304,6 +310,6 @@
 @then("one queued request of priority 2 was shed for it")
 def check_displaced(context):
     # The queue was full, so the urgent request displaced a queued one.
-    assert len(context.play.shed) == 1, context.play.shed
-    ((_, wait),) = context.play.shed
+    assert len(context.simulation.shed) == 1, context.simulation.shed
+    ((_, wait),) = context.simulation.shed
     assert wait > 0
--- a/tests/features/steps/admission_steps.py
+++ b/tests/features/steps/admission_steps.py
@@ -187,7 +187,7 @@
     assert len(refused_on_arrival) == refused, len(refused_on_arrival)
 
 
-@then("at least {count:d} calls fewer are served")
+@then("at least {count:d} fewer calls are served")
 def check_fewer(context, count):
     assert len(served(context.outcomes)) + count <= len(served(context.previous_outcomes))
 
@@ -263,7 +263,7 @@
     assert percentile(answer_times(context.outcomes), 0.99) <= ms / 1000
 
 
-@then("99 in 100 answers come only within {ms:d} ms or more")
+@then("the 99th percentile of answer times is at least {ms:d} ms")
 def check_answer_times_baseline(context, ms):
     assert percentile(answer_times(context.outcomes), 0.99) >= ms / 1000
 
@@ -302,7 +302,7 @@
     assert percentile(answer_times_in_contention(context), 0.99) <= ms / 1000
 
 
-@then("during the contention 99 in 100 answers come only within {ms:d} ms or more")
+@then("during the contention the 99th percentile of answer times is at least {ms:d} ms")
 def check_contention_baseline(context, ms):
     assert percentile(answer_times_in_contention(context), 0.99) >= ms / 1000
 
--- a/tests/features/steps/claims_model_steps.py
+++ b/tests/features/steps/claims_model_steps.py
@@ -79,7 +79,7 @@
     assert context.caught is not None
 
 
-@when("a waiter joins a takeover that another node has won and run")
+@when("a waiter joins a takeover after another node has taken over and run the call")
 def join_takeover(context):
     context.waiter_results = {
         tracker_class: _join_late_waiter(tracker_class)
--- a/tests/features/steps/configuration_steps.py
+++ b/tests/features/steps/configuration_steps.py
@@ -32,12 +32,12 @@
 
 @when("all of them confirm at once")
 def confirm_all(context):
-    def send(pair):
+    def confirm_one(pair):
         number, digest = pair
         return confirm(context.deployment, "abc"[number % 3] + "1", "flock", digest)
 
     with ThreadPoolExecutor(len(context.digests)) as pool:
-        context.replies = list(pool.map(send, enumerate(context.digests)))
+        context.replies = list(pool.map(confirm_one, enumerate(context.digests)))
 
 
 @then("one succeeds with version {version:d} and the others get CONFLICT with a plan on version 2")
@@ -62,7 +62,7 @@
 
 
 @given("the platform delays 1 write of the head")
-def hold_write(context):
+def delay_write(context):
     context.deployment.set_faults(hold_writes=1, only=_HEAD)
 
 
@@ -171,12 +171,12 @@
 
 @then("{name} reports that it is not ready because {reason}")
 def check_reason(context, name, reason):
-    def says():
+    def is_reported():
         status, document = ask(context.deployment, name, "GET", "/readyz")
         assert status == 503, document
         return "peers in 1 of 2 failure domains do" in document["reason"]
 
-    context.deployment.wait_until(says)
+    context.deployment.wait_until(is_reported)
 
 
 @then("a call through {name} is refused with code {code:d}")
--- a/tests/features/steps/diagnosis_steps.py
+++ b/tests/features/steps/diagnosis_steps.py
@@ -12,7 +12,7 @@
 
 _WAIT_MS = 700
 _ROUNDS = 4
-_LOG_SECONDS = 5.0
+_MAX_LOG_DELAY_SECONDS = 5.0
 _TARGET_EVENTS = ("run_failed", "run_cancelled")
 
 
@@ -43,7 +43,9 @@
 def leave_at_end(context, name, count):
     relays = context.relays
     relays.signal(f"target-{name}", signal.SIGUSR1)
-    relays.wait_until(lambda: relays.send(name, "POST", "/order/x").status == 503, _LOG_SECONDS)
+    relays.wait_until(
+        lambda: relays.send(name, "POST", "/order/x").status == 503, _MAX_LOG_DELAY_SECONDS
+    )
     for _ in range(count):
         _send(context, "leave", "POST", "/order/x")
 
@@ -96,7 +98,7 @@
             hops[:] = _explain(context, sent.request_id)
             return bool(hops) and hops[-1]["event"] == "refused"
 
-        context.relays.wait_until(is_logged, _LOG_SECONDS)
+        context.relays.wait_until(is_logged, _MAX_LOG_DELAY_SECONDS)
         context.causes[sent.request_id] = _diagnose(context, hops)
 
 
