--- a/tests/features/faults_soak.feature
+++ b/tests/features/faults_soak.feature
@@ -1,12 +1,13 @@
-Feature: Promises under random faults on real processes
+Feature: Guarantees under random faults on real processes
 
-  Short seeded runs of the soak; `make faults` plays fresh seeds for as long as wanted.
+  Short runs of the fault soak test with fixed seeds; `make faults` runs new seeds for a given time.
 
-  Scenario Outline: No promise is broken
-    # Processes are killed, frozen and stopped, targets crash and leave, the store is cut, deaf, slow
-    # and forgetful, and versions follow each other, while callers go on.
-    When seed <seed> is played for 6 s
-    Then no promise was broken
+  Scenario Outline: No guarantee is violated
+    # Processes are killed, frozen and stopped, targets crash and leave, the store is unreachable or
+    # slow, hides changes or loses its history, and new configuration versions are published, while
+    # callers keep sending requests.
+    When seed <seed> is run for 6 s
+    Then no guarantee was violated
 
     Examples:
       | seed |
--- a/tests/features/instances.feature
+++ b/tests/features/instances.feature
@@ -1,76 +1,76 @@
-Feature: Which process of the target is running, whatever arrives late
+Feature: The node knows the target's current process although messages arrive late
 
-  A node must never hand work to a target that has said it leaves, nor hold back from a new one
-  because of what an old one said.
+  A node must never send requests to a target that has announced that it is leaving, nor withhold
+  them from a new process because of a message of an earlier one.
 
-  Scenario: A heartbeat from before the leaving arrives after it
-    # The network held up "ready" and delivered it behind "leaving", which was acknowledged.
+  Scenario: A heartbeat sent before the announcement of leaving arrives after it
+    # The network delays "ready" and delivers it after "leaving", which was acknowledged.
     Given a heartbeat 5 of "i-1" that is ready
     And a heartbeat 7 of "i-1" that is leaving
     When a heartbeat 6 of "i-1" that is ready
-    Then no work is handed over
+    Then no requests are sent
 
-  Scenario: A heartbeat of the process before arrives after its successor's
+  Scenario: A heartbeat of the previous process arrives after its successor's
     Given a heartbeat 40 of "i-1" started at 1000 that is ready
     And a heartbeat 1 of "i-2" started at 9000 that is ready
     When a heartbeat 41 of "i-1" started at 1000 that is ready
-    Then work is handed to "i-2"
+    Then requests are sent to "i-2"
 
-  Scenario: The same without a start time
+  Scenario: A heartbeat of the previous process arrives late, without a start time
     Given a heartbeat 40 of "i-1" that is ready
     And a heartbeat 1 of "i-2" that is ready
     When a heartbeat 41 of "i-1" that is ready
-    Then work is handed to "i-2"
+    Then requests are sent to "i-2"
 
-  Scenario: A process starts again under the same id
-    # Its count starts anew; by the count alone all its heartbeats would be old ones.
+  Scenario: A process restarts under the same id
+    # Its sequence numbers start over; judged by these alone, all its heartbeats would be outdated.
     Given a heartbeat 40 of "i-1" started at 1000 that is leaving
     When a heartbeat 1 of "i-1" started at 9000 that is ready
-    Then work is handed to "i-1"
+    Then requests are sent to "i-1"
 
-  Scenario: A farewell of the process before does not end its successor
+  Scenario: Deregistering the previous process does not end its successor
     Given a heartbeat 40 of "i-1" started at 1000 that is ready
     And a heartbeat 1 of "i-2" started at 9000 that is ready
-    When "i-1" says farewell
-    Then work is handed to "i-2"
+    When "i-1" deregisters
+    Then requests are sent to "i-2"
 
-  Scenario: A farewell without a leaving before it ends all new work
+  Scenario: Deregistering without an announcement of leaving ends all new requests
     Given a heartbeat 5 of "i-1" that is ready
-    When "i-1" says farewell
-    Then no work is handed over
+    When "i-1" deregisters
+    Then no requests are sent
 
-  Scenario: A heartbeat that was held up does not call a process back after its farewell
+  Scenario: A delayed heartbeat does not make a process usable again after it has deregistered
     Given a heartbeat 5 of "i-1" that is ready
-    And "i-1" says farewell
+    And "i-1" deregisters
     When a heartbeat 4 of "i-1" that is ready
-    Then no work is handed over
+    Then no requests are sent
 
-  Scenario: A node that starts beside a living target learns it from its health
-    When the health path answers well as "i-1"
-    Then work is handed to "i-1"
+  Scenario: A node that starts beside a running target learns its id from the health path
+    When the health path responds as healthy for "i-1"
+    Then requests are sent to "i-1"
 
-  Scenario: A node that starts beside a leaving target gives it no work
-    # The node before it had acknowledged the leaving. One late "ready" must not undo that.
-    Given the health path says no as "i-1"
+  Scenario: A node that starts beside a leaving target sends it no requests
+    # The previous process of the node had acknowledged the leave. One late "ready" must not undo it.
+    Given the health path responds as unhealthy for "i-1"
     When a heartbeat 4 of "i-1" that is ready
-    Then no work is handed over
+    Then no requests are sent
     When a heartbeat 7 of "i-1" that is leaving
-    Then no work is handed over
+    Then no requests are sent
 
-  Scenario: A node that starts beside a target whose health is wrongly bad trusts its heartbeats
-    Given the health path says no as "i-1"
+  Scenario: A node that starts beside a target wrongly reported unhealthy trusts its heartbeats
+    Given the health path responds as unhealthy for "i-1"
     And a heartbeat 4 of "i-1" that is ready
     When a heartbeat 5 of "i-1" that is ready
-    Then work is handed to "i-1"
+    Then requests are sent to "i-1"
 
-  Scenario: Bad health does not count against heartbeats
+  Scenario: An unhealthy response does not overrule heartbeats
     Given a heartbeat 5 of "i-1" that is ready
-    When the health path says no as "i-1"
-    Then work is handed to "i-1"
+    When the health path responds as unhealthy for "i-1"
+    Then requests are sent to "i-1"
 
-  Scenario: A target that takes no connections gets no work until it does
+  Scenario: A target that accepts no connections gets no requests until it does
     Given a heartbeat 5 of "i-1" that is ready
-    When the target takes no connection
-    Then no work is handed over
-    When the health path answers well as "i-2"
-    Then work is handed to "i-2"
+    When the target accepts no connection
+    Then no requests are sent
+    When the health path responds as healthy for "i-2"
+    Then requests are sent to "i-2"
--- a/tests/features/steps/faults_soak_steps.py
+++ b/tests/features/steps/faults_soak_steps.py
@@ -1,17 +1,17 @@
-"""Steps that play one seed of the fault soak."""
+"""Steps that run the fault soak test with one seed."""
 
 from behave import then, when
 
 from soak.faults import FaultRun
 
 
-@when("seed {seed:d} is played for {seconds:d} s")
-def play(context, seed, seconds):
+@when("seed {seed:d} is run for {seconds:d} s")
+def run_seed(context, seed, seconds):
     run = FaultRun(seed, seconds)
     context.findings = run.run()
     context.faults = run.log
 
 
-@then("no promise was broken")
-def nothing_broken(context):
+@then("no guarantee was violated")
+def check_no_findings(context):
     assert not context.findings, (context.findings, context.faults)
--- a/tests/features/steps/finding_hosts_steps.py
+++ b/tests/features/steps/finding_hosts_steps.py
@@ -1,4 +1,4 @@
-"""Steps that start nodes' controllers of the store together, on a clock of the test's own."""
+"""Steps that start the store controllers of several nodes together, on a fake clock."""
 
 import itertools
 import random
@@ -20,7 +20,7 @@
 
 
 class _Store:
-    """Rows of several tables; a call is carried out half way to its answer."""
+    """Rows of several tables; a call takes effect after half of its answer time."""
 
     def __init__(self, loop):
         self._loop = loop
@@ -61,12 +61,12 @@
         self.learned.update(addresses)
 
     def announce_changes(self):
-        """Tell nobody."""
+        """Do nothing; this fake has no peers to notify."""
 
 
 class _Log:
     def notable(self, event, **fields):
-        """Take no note."""
+        """Ignore the event."""
 
 
 class _Host:
@@ -80,9 +80,9 @@
             addresses=SimpleNamespace(links=Endpoint(f"10.0.0.{number + 1}", port)),
         )
         self.peers = _Peers()
-        chance = random.Random(number)
-        self.config = ConfigSynchronizer(loop, settings, store, self.peers, READERS, chance, _Log())
-        self.discovery = Discovery(loop, settings, store, self.peers, chance, _Log())
+        rng = random.Random(number)
+        self.config = ConfigSynchronizer(loop, settings, store, self.peers, READERS, rng, _Log())
+        self.discovery = Discovery(loop, settings, store, self.peers, rng, _Log())
 
     def start(self):
         self.discovery.start()
@@ -96,65 +96,65 @@
 
 
 @given("{count:d} hosts that start together for the first time")
-def first_start(context, count):
+def start_hosts(context, count):
     context.loop, context.hosts = FakeLoop(), []
     context.store = _Store(context.loop)
     _start(context, range(count), is_first_start=True)
 
 
 @given("a running system of {count:d} hosts")
-def running_system(context, count):
-    first_start(context, count)
+def give_running_system(context, count):
+    start_hosts(context, count)
     context.loop.advance(1.0)
     context.store.calls[TABLE] = 0
 
 
 @when("{seconds:g} s passes")
 @when("{seconds:g} s pass")
-@when("nobody tells the others, and {seconds:g} s pass")
-def time_passes(context, seconds):
+@when("the others hear nothing, and {seconds:g} s pass")
+def pass_time(context, seconds):
     context.loop.advance(seconds)
 
 
 @when("{count:d} new hosts start together and {seconds:g} s passes")
-def new_hosts(context, count, seconds):
+def start_new_hosts(context, count, seconds):
     first = len(context.hosts)
     _start(context, range(first, first + count), is_first_start=False)
     context.loop.advance(seconds)
 
 
-@when("{count:d} of its hosts start again and {seconds:g} s passes")
-def start_again(context, count, seconds):
+@when("{count:d} of its hosts restart and {seconds:g} s passes")
+def restart_hosts(context, count, seconds):
     _start(context, range(count), is_first_start=False)
     context.loop.advance(seconds)
 
 
-@when("a host starts again at another address and {seconds:g} s passes")
-def moved(context, seconds):
+@when("a host restarts at another address and {seconds:g} s passes")
+def restart_at_new_address(context, seconds):
     _start(context, [3], is_first_start=False, port=9999)
     context.loop.advance(seconds)
 
 
 @then("its row holds the new address")
-def row_is_new(context):
+def check_row(context):
     host = context.hosts[-1]
     assert cbor2.loads(context.store.rows[TABLE][host.name]) == host.address
 
 
 @then("of any two hosts at least one has found the other")
-def all_found(context):
+def check_all_found(context):
     for one, other in itertools.combinations(context.hosts, 2):
         assert other.address in one.peers.learned or one.address in other.peers.learned
 
 
 @then("the store took {count:d} calls for the hosts' rows")
-def calls_for_rows(context, count):
+def check_row_calls(context, count):
     assert context.store.calls[TABLE] == count, context.store.calls
 
 
 @given("{count:d} hosts of a system that lost power, with a configuration in the store")
-def lost_power(context, count):
-    running_system(context, count)
+def restart_after_power_loss(context, count):
+    give_running_system(context, count)
     context.hosts = []
     hosts = [_Host(context, number, is_first_start=False) for number in range(count)]
     for host in hosts:
@@ -165,12 +165,12 @@
 
 
 @then("{count:d} of them have read the configuration")
-def have_read(context, count):
+def check_config_reads(context, count):
     assert context.store.calls["op"] == count, context.store.calls
 
 
 @given("{count:d} hosts whose nodes start together for the first time and lose 3 of 100 datagrams")
-def fleet_starts(context, count):
+def start_fleet(context, count):
     context.fleet = Fleet(0, loss=0.03)
     context.store = _Store(context.fleet.loop)
     for number in range(count):
@@ -181,12 +181,12 @@
 
 
 @when("their nodes run for {seconds:g} s")
-def fleet_runs(context, seconds):
+def run_fleet(context, seconds):
     context.fleet.run(seconds)
 
 
 @then("every node has found every other")
-def all_sound(context):
+def check_every_node_found(context):
     for host in context.fleet.up():
         live = context.fleet.live_views(host)
         assert len(live) >= len(context.fleet.hosts) - 2, len(live)
@@ -194,5 +194,5 @@
 
 
 @then("the store took at most {count:d} calls for the hosts' rows")
-def few_calls_for_rows(context, count):
+def check_max_row_calls(context, count):
     assert context.store.calls[TABLE] <= count, context.store.calls
--- a/tests/features/steps/held_up_steps.py
+++ b/tests/features/steps/held_up_steps.py
@@ -1,4 +1,4 @@
-"""Steps that deliver requests late over one link."""
+"""Steps that deliver requests with a delay over one link."""
 
 from behave import given, then, when
 
@@ -7,26 +7,26 @@
 from standins.fakes import FakeLoop
 
 
-class _Gate:
+class _FakeAdmissionController:
     def __init__(self):
-        self.runs = []
+        self.submitted = []
 
     def submit(self, message, reply):
-        self.runs.append(message)
+        self.submitted.append(message)
 
 
-@given("a link whose sender's clock is {seconds:d} s {way}")
-def give_link(context, seconds, way):
+@given("a link whose sender's clock is {seconds:d} s {direction}")
+def give_link(context, seconds, direction):
     context.loop = FakeLoop()
-    context.offset = seconds if way == "ahead" else -seconds
-    context.gate, context.replies = _Gate(), []
-    context.handle = make_relay_handler(context.loop, context.gate, None)
+    context.offset = seconds if direction == "ahead" else -seconds
+    context.admission_controller, context.replies = _FakeAdmissionController(), []
+    context.handle = make_relay_handler(context.loop, context.admission_controller, None)
 
 
-@when("a request with {left:f} s left arrives after {late:f} s on the way")
-def arrive(context, left, late):
+@when("a request with {left:f} s left arrives with a delay of {delay:f} s")
+def deliver_request(context, left, delay):
     sent_at = context.loop.now() + context.offset
-    context.loop.advance(0.003 + late)
+    context.loop.advance(0.003 + delay)
     message = RelayMessage(
         call_id=1,
         sent_at=sent_at,
@@ -48,16 +48,20 @@
 
 
 @then("the first runs with {left:f} s left")
-def first_runs(context, left):
-    assert abs(context.gate.runs[0].remaining_s - left) < 0.01, context.gate.runs
+def check_first_runs(context, left):
+    assert (
+        abs(context.admission_controller.submitted[0].remaining_s - left) < 0.01
+    ), context.admission_controller.submitted
 
 
 @then("the second runs with {left:f} s left")
-def second_runs(context, left):
-    assert abs(context.gate.runs[1].remaining_s - left) < 0.01, context.gate.runs
+def check_second_runs(context, left):
+    assert (
+        abs(context.admission_controller.submitted[1].remaining_s - left) < 0.01
+    ), context.admission_controller.submitted
 
 
 @then("the second is declined as not run")
-def second_declined(context):
-    assert len(context.gate.runs) == 1
+def check_second_declined(context):
+    assert len(context.admission_controller.submitted) == 1
     assert [reply.ran for reply in context.replies] == ["NOT_RUN"], context.replies
--- a/tests/features/steps/instances_steps.py
+++ b/tests/features/steps/instances_steps.py
@@ -1,4 +1,4 @@
-"""Steps that let a target's heartbeats, farewells and health arrive in some order."""
+"""Steps that deliver a target's heartbeats, deregistrations and health responses in some order."""
 
 from behave import given, then, when
 
@@ -13,53 +13,53 @@
     return context.record
 
 
-def _beat(context, sequence, instance, state, started=None):
+def _send_heartbeat(context, sequence, instance, state, started_ms=None):
     heartbeat = Heartbeat(
-        instance, started, sequence, "counter", "127.0.0.1:1", 9, _STATES[state], 0.0
+        instance, started_ms, sequence, "counter", "127.0.0.1:1", 9, _STATES[state], 0.0
     )
     _record(context).record_heartbeat(heartbeat, 0.0)
 
 
 @given('a heartbeat {sequence:d} of "{instance}" that is {state}')
 @when('a heartbeat {sequence:d} of "{instance}" that is {state}')
-def beat(context, sequence, instance, state):
-    _beat(context, sequence, instance, state)
+def send_heartbeat(context, sequence, instance, state):
+    _send_heartbeat(context, sequence, instance, state)
 
 
-@given('a heartbeat {sequence:d} of "{instance}" started at {started:d} that is {state}')
-@when('a heartbeat {sequence:d} of "{instance}" started at {started:d} that is {state}')
-def beat_with_start(context, sequence, instance, started, state):
-    _beat(context, sequence, instance, state, started)
+@given('a heartbeat {sequence:d} of "{instance}" started at {started_ms:d} that is {state}')
+@when('a heartbeat {sequence:d} of "{instance}" started at {started_ms:d} that is {state}')
+def send_heartbeat_with_start(context, sequence, instance, started_ms, state):
+    _send_heartbeat(context, sequence, instance, state, started_ms)
 
 
-@given('"{instance}" says farewell')
-@when('"{instance}" says farewell')
-def farewell(context, instance):
+@given('"{instance}" deregisters')
+@when('"{instance}" deregisters')
+def deregister(context, instance):
     _record(context).record_leaving(instance)
 
 
-@when('the health path answers well as "{instance}"')
-def healthy(context, instance):
+@when('the health path responds as healthy for "{instance}"')
+def report_healthy(context, instance):
     _record(context).record_healthy(instance)
 
 
-@given('the health path says no as "{instance}"')
-@when('the health path says no as "{instance}"')
-def unhealthy(context, instance):
+@given('the health path responds as unhealthy for "{instance}"')
+@when('the health path responds as unhealthy for "{instance}"')
+def report_unhealthy(context, instance):
     _record(context).record_unhealthy(instance)
 
 
-@when("the target takes no connection")
-def down(context):
+@when("the target accepts no connection")
+def report_unreachable(context):
     _record(context).record_unreachable()
 
 
-@then("no work is handed over")
-def no_work(context):
+@then("no requests are sent")
+def check_no_requests(context):
     assert not context.record.usable, context.record.instance
 
 
-@then('work is handed to "{instance}"')
-def work_to(context, instance):
+@then('requests are sent to "{instance}"')
+def check_requests_to(context, instance):
     assert context.record.usable
     assert context.record.instance == instance, context.record.instance
--- a/tests/features/steps/join_steps.py
+++ b/tests/features/steps/join_steps.py
@@ -21,7 +21,7 @@
 
 
 class FakeTable:
-    """The part of the platform's client that joining uses, over a dict."""
+    """The part of the platform's client that Join uses, backed by a dict."""
 
     def __init__(self):
         self.rows = {}
@@ -43,25 +43,25 @@
 
 
 class FakeLog:
-    """A log that keeps nothing."""
+    """A log that discards every line."""
 
     def info(self, text):
-        """Drop a line."""
+        """Discard the line."""
 
 
 def make_member(name, state=MemberState.ALIVE):
     return Member(name, 1, 0, state, f"{name}-1", "127.0.0.1:1", "fd-a", None)
 
 
-@then("{members:d} members read between {least:f} and {most:f} pages a second together")
+@then("{members:d} members read between {least:f} and {most:f} pages a second in total")
 def check_pages(context, members, least, most):
     rng = random.Random(members)
     pages = sum(1 / poll_seconds(members, rng) for _ in range(members))
     assert least <= pages <= most, pages
 
 
-@when("{count:d} nodes plan their next attempt after {failures:d} failures")
-def plan_attempts(context, count, failures):
+@when("{count:d} nodes schedule their next attempt after {failures:d} failures")
+def schedule_attempts(context, count, failures):
     rng = random.Random(5)
     context.waits = [retry_seconds(failures, rng) for _ in range(count)]
 
@@ -103,8 +103,8 @@
     context.join._poll()
 
 
-@when("it polls a row of nonsense")
-def poll_nonsense(context):
+@when("it polls a malformed row")
+def poll_malformed_row(context):
     context.fake_table.rows[row_key("odd")] = b"\xff\xff nonsense"
     context.join._poll()
 
@@ -125,7 +125,7 @@
 
 
 @then("nothing was deleted and nothing failed")
-def check_nothing(context):
+def check_nothing_deleted(context):
     assert context.fake_table.deleted == []
 
 
@@ -134,7 +134,7 @@
     context.keys = sorted(row_key(f"host-{number}") for number in range(count))
 
 
-@then("{pages:d} pages of 16 rows from random places hold no row more than {most:d} times")
+@then("{pages:d} pages of 16 rows from random keys hold no row more than {most:d} times")
 def check_even(context, pages, most):
     rng = random.Random(9)
     seen = Counter()
