--- a/tests/features/finding_hosts.feature
+++ b/tests/features/finding_hosts.feature
@@ -27,7 +27,8 @@
     Then its row holds the new address
 
   Scenario: After a power loss a few hosts read the configuration for all
-    # Guards against 12 reads at once where three suffice: the others get the configuration from these.
+    # Guards against 12 reads at once where three suffice: the other hosts get the configuration
+    # from these three.
     Given 12 hosts of a system that lost power, with a configuration in the store
     When 0.25 s pass
     Then 3 of them have read the configuration
--- a/tests/features/limit_log.feature
+++ b/tests/features/limit_log.feature
@@ -1,7 +1,7 @@
-Feature: What the log says of a target's limit
+Feature: The log reports changes of a target's concurrency limit
 
-  Scenario: The log tells when a target's limit moves
-    # Guards against a limit that moves without a line that tells when and from what.
-    Given a node whose target of 8 slots slows down by 1.7 beyond 5
-    When 90 requests a second come there for 30 s
-    Then the log says that the limit moved from 6 to 5 of 8 slots
+  Scenario: The log reports when a target's limit changes
+    # Guards against a change of the limit without a line that says when and from which value.
+    Given a node whose target of 8 slots takes 1.7 times as long beyond 5 requests
+    When 90 requests a second arrive there for 30 s
+    Then the log says that the limit changed from 6 to 5 of 8 slots
--- a/tests/features/steps/keyed_steps.py
+++ b/tests/features/steps/keyed_steps.py
@@ -1,4 +1,4 @@
-"""Steps about work under a caller's key."""
+"""Steps that send requests with idempotency keys."""
 
 import signal
 
@@ -33,8 +33,8 @@
     context.deployment.set_faults(refuse=True)
 
 
-@given("the table is well again")
-def mend_table(context):
+@given("the table works again")
+def restore_table(context):
     context.deployment.set_faults()
 
 
@@ -81,7 +81,7 @@
 
 
 @when("order {key:w} is sent to node {node:w} 3 times, with other keys in between")
-def send_in_between(context, key, node):
+def send_among_others(context, key, node):
     for number in range(3):
         send_order(context, key, node)
         send_order(context, f"{key}-{number}", node)
@@ -89,34 +89,34 @@
 
 @when("order {key:w} working {milliseconds:d} ms is sent to nodes {first:w} and {second:w} at once")
 def send_at_once(context, key, milliseconds, first, second):
-    callers = [_begin(context, key, node, milliseconds) for node in (first, second)]
+    callers = [_start(context, key, node, milliseconds) for node in (first, second)]
     for caller in callers:
         note_answer(context, caller.read(), 0)
 
 
-@when("order {key:w} is begun at node {node:w}")
-def begin_plain(context, key, node):
-    context.begun = _begin(context, key, node, 1)
+@when("order {key:w} is started at node {node:w}")
+def start_plain(context, key, node):
+    context.started = _start(context, key, node, 1)
 
 
-@when("order {key:w} working {milliseconds:d} ms is begun at node {node:w}")
-def begin_working(context, key, milliseconds, node):
-    context.begun = _begin(context, key, node, milliseconds)
+@when("order {key:w} working {milliseconds:d} ms is started at node {node:w}")
+def start_working(context, key, milliseconds, node):
+    context.started = _start(context, key, node, milliseconds)
 
 
-def _begin(context, key, node, milliseconds):
+def _start(context, key, node, milliseconds):
     caller = Caller(context.deployment.nodes[node].callers)
     context.add_cleanup(caller.close)
     query = f"&work_ms={milliseconds}" if milliseconds != 1 else ""
     path = f"/orders?key={key}{query}"
     caller.send(render("POST", "orders", path, (("Idempotency-Key", key),), b"order"))
-    context.begun_key = key
+    context.started_key = key
     return caller
 
 
 @when("it runs")
 def wait_running(context):
-    key = context.begun_key
+    key = context.started_key
     context.deployment.wait_until(lambda: count_runs(context, key) == 1)
 
 
@@ -126,9 +126,9 @@
     send_order(context, key, node, f"&work_ms={milliseconds}")
 
 
-@when("the begun order is answered")
-def read_begun(context):
-    note_answer(context, context.begun.read(), 0)
+@when("the started order is answered")
+def read_started(context):
+    note_answer(context, context.started.read(), 0)
 
 
 @when("the platform has held {count:d}")
@@ -160,11 +160,11 @@
 @when("the node beside the running target is killed")
 def kill_targets_node(context):
     runs = {name: context.deployment.runs(name) for name in TARGETS}
-    (name,) = [name for name in TARGETS if runs[name].get(context.begun_key)]
+    (name,) = [name for name in TARGETS if runs[name].get(context.started_key)]
     end_process(context, f"node-{name}")
 
 
-@when("node {name:w} is started anew")
+@when("node {name:w} is restarted")
 def restart_node(context, name):
     context.deployment.start_node(name)
     context.deployment.wait_served(name, "orders")
@@ -210,7 +210,7 @@
     assert headers["camphorshelf-ran"] == ran, context.answer
 
 
-@then("it is refused with code {code:d} and {ran:w} and a time to come back")
+@then("it is refused with code {code:d} and {ran:w} and a time to retry")
 def check_refused_for_now(context, code, ran):
     check_refused(context, code, ran)
     assert int(context.answer.headers["retry-after-ms"]) > 0
@@ -238,23 +238,23 @@
     assert count_runs(context, key) <= 1, count_runs(context, key)
 
 
-@then("none is answered, and those told NOT_RUN have not run")
+@then("none succeeds, and those answered NOT_RUN have not run")
 def check_none_answered(context):
     assert all(answer.status != 200 for answer in context.answers), context.answers
     runs = [context.deployment.runs(name) for name in TARGETS]
     assert runs == [{}, {}], runs
 
 
-@then("exactly 1 target of orders is dead")
-def check_one_dead(context):
-    def is_dead(name):
+@then("exactly 1 target of orders has ended")
+def check_one_ended(context):
+    def has_ended(name):
         try:
             context.deployment.runs(name)
         except OSError:
             return True
         return False
 
-    assert [is_dead(name) for name in TARGETS].count(True) == 1
+    assert [has_ended(name) for name in TARGETS].count(True) == 1
 
 
 @then("{count:d} lookups through node {node:w} are served")
@@ -264,24 +264,26 @@
     assert statuses == [200] * count, statuses
 
 
-@when("order {key:w} is begun for the first time at node {node:w} with a deadline of {limit:d} ms")
-def begin_first(context, key, node, limit):
+@when(
+    "order {key:w} is started for the first time at node {node:w} with a deadline of {limit:d} ms"
+)
+def start_first(context, key, node, limit):
     caller = Caller(context.deployment.nodes[node].callers)
     context.add_cleanup(caller.close)
     headers = (("Idempotency-Key", key), ("Idempotency-Attempt", "1"), ("Deadline-Ms", str(limit)))
     caller.send(render("POST", "orders", f"/orders?key={key}", headers, b"order"))
-    context.begun = caller
+    context.started = caller
 
 
-@when("order {key:w} is sent to node {node:w} while the first waits")
+@when("order {key:w} is sent to node {node:w} while the first request waits")
 def send_while_waiting(context, key, node):
     send_order(context, key, node)
-    context.first = context.begun.read()
+    context.first = context.started.read()
 
 
-@then("the first caller was not told NOT_RUN if order {key:w} has run")
-def check_first_told(context, key):
+@then("the first caller was not answered NOT_RUN if order {key:w} has run")
+def check_first_answer(context, key):
     assert context.first.headers.get("camphorshelf-ran"), context.first
-    was_told = context.first.headers["camphorshelf-ran"] == "NOT_RUN"
-    assert not (was_told and count_runs(context, key)), (context.first, context.answer)
+    answered_not_run = context.first.headers["camphorshelf-ran"] == "NOT_RUN"
+    assert not (answered_not_run and count_runs(context, key)), (context.first, context.answer)
     assert count_runs(context, key) == 1, "the claim was read back and run for the resend"
--- a/tests/features/steps/leaving_steps.py
+++ b/tests/features/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps about targets that leave, with real processes."""
+"""Steps that stop targets gracefully, with real processes."""
 
 import signal
 import threading
@@ -14,14 +14,14 @@
     NodePlan("b1", "counter", "fd-b"),
     NodePlan("c1", "orders", "fd-c"),
 )
-_QUIET_LOOKUPS = 200
-_LAST = 20
-_AT_ONCE = 16
+_MIN_LOOKUPS_WITHOUT_TARGET = 200
+_LAST_COUNT = 20
+_CONCURRENT_LOOKUPS = 16
 _SLOW_LOOKUP = "/tags/1?work_ms=50"
 
 
 class Lookups:
-    """A thread that sends lookups without a pause and keeps their answers."""
+    """Sends lookups continuously from a thread and keeps their answers."""
 
     def __init__(self, address):
         self._address = address
@@ -35,7 +35,7 @@
             self.answers.append(call(self._address, "GET", "counter", "/tags/1"))
 
     def stop(self):
-        """End the thread."""
+        """Stop sending and wait for the thread."""
         self._stop.set()
         self._thread.join()
 
@@ -50,7 +50,7 @@
 
 
 @given("a deployment with two targets of counter and one of orders")
-def start(context):
+def give_deployment(context):
     use_fixture(deployment, context)
 
 
@@ -74,13 +74,13 @@
     context.deployment.wait_until(lambda: key in context.deployment.runs("c1"))
 
 
-@given("lookups for counter run without a pause through a1, b1 and c1")
+@given("lookups for counter run continuously through a1, b1 and c1")
 def start_lookups(context):
     nodes = context.deployment.nodes
     context.lookups = [Lookups(nodes[name].callers) for name in ("a1", "b1", "c1")]
     for lookups in context.lookups:
         context.add_cleanup(lookups.stop)
-    context.deployment.wait_until(lambda: seen(context, "b1") > _LAST)
+    context.deployment.wait_until(lambda: count_received(context, "b1") > _LAST_COUNT)
 
 
 @when("target {name} gets SIGTERM")
@@ -105,11 +105,11 @@
     start_again(context, name)
 
 
-@when("target {name} asks its node to {what:w}")
-def ask(context, name, what):
-    answer = call(context.deployment.nodes[name].admin, "POST", "node", f"/{what}")
+@when("target {name} asks its node to {action:w}")
+def ask_node(context, name, action):
+    answer = call(context.deployment.nodes[name].admin, "POST", "node", f"/{action}")
     assert answer.status == 200, answer
-    context.seen = seen(context, name)
+    context.received_before = count_received(context, name)
 
 
 @then("the call in flight is answered {status:d} by {name}")
@@ -127,7 +127,7 @@
     assert headers.get("camphorshelf-ran") == ran, context.answers
 
 
-@then("the process {process} is gone with status {status:d}")
+@then("the process {process} has ended with status {status:d}")
 def check_end(context, process, status):
     assert context.deployment.wait_end(process) == status
 
@@ -138,52 +138,57 @@
     assert log == f"drained with {count} calls in flight\n", log
 
 
-@then("target {name} receives nothing more while the lookups go on")
-def check_quiet(context, name):
+@then("target {name} receives nothing more while the lookups continue")
+def check_receives_nothing(context, name):
     before = [len(lookups.answers) for lookups in context.lookups]
     context.deployment.wait_until(
         lambda: all(
-            len(lookups.answers) >= earlier + _QUIET_LOOKUPS
+            len(lookups.answers) >= earlier + _MIN_LOOKUPS_WITHOUT_TARGET
             for lookups, earlier in zip(context.lookups, before, strict=True)
         )
     )
-    assert seen(context, name) == context.seen, (context.seen, seen(context, name))
+    assert count_received(context, name) == context.received_before, (
+        context.received_before,
+        count_received(context, name),
+    )
 
 
-@then("every lookup was served or turned away as not run, and the last ones were served")
+@then("every lookup was served or refused as not run, and the last ones were served")
 def check_lookups_served(context):
     for lookups in context.lookups:
         answers = list(lookups.answers)
         for answer in answers:
-            turned_away = answer.headers.get("camphorshelf-ran") == "NOT_RUN"
-            assert answer.status == 200 or turned_away, answer
-        assert all(answer.status == 200 for answer in answers[-_LAST:]), answers[-_LAST:]
+            was_refused = answer.headers.get("camphorshelf-ran") == "NOT_RUN"
+            assert answer.status == 200 or was_refused, answer
+        assert all(answer.status == 200 for answer in answers[-_LAST_COUNT:]), answers[
+            -_LAST_COUNT:
+        ]
 
 
 @then("target {name} receives lookups again")
-def check_again(context, name):
-    context.deployment.wait_until(lambda: seen(context, name) > context.seen)
+def check_receives_again(context, name):
+    context.deployment.wait_until(lambda: count_received(context, name) > context.received_before)
 
 
 @then("a lookup is served by target {name} again")
 def check_serving(context, name):
-    # More lookups at once than a1's own target has slots: an idle target of the entry node's own
-    # domain is preferred, and would take lookups that come one after the other.
+    # More concurrent lookups than a1's own target has slots: an idle target of the entry node's own
+    # failure domain is preferred, and would serve all lookups that are sent one after the other.
     address = context.deployment.nodes["a1"].callers
 
     def send(_number):
         return call(address, "GET", "counter", _SLOW_LOOKUP)
 
     def is_seen():
-        with ThreadPoolExecutor(_AT_ONCE) as pool:
-            list(pool.map(send, range(_AT_ONCE)))
-        return seen(context, name) > 0
+        with ThreadPoolExecutor(_CONCURRENT_LOOKUPS) as pool:
+            list(pool.map(send, range(_CONCURRENT_LOOKUPS)))
+        return count_received(context, name) > 0
 
     context.deployment.wait_until(is_seen)
 
 
-@then("node {name} turns calls for {service} away with code {code:d}")
-def check_turned_away(context, name, service, code):
+@then("node {name} refuses calls for {service} with code {code:d}")
+def check_refused(context, name, service, code):
     answer = call(context.deployment.nodes[name].callers, "GET", service, "/tags/1")
     assert answer.headers.get("camphorshelf-code") == str(code), answer
 
@@ -199,20 +204,20 @@
     context.deployment.wait_until(is_served)
 
 
-def seen(context, name):
+def count_received(context, name):
     return int(call(context.deployment.nodes[name].target, "GET", "target", "/_seen").body)
 
 
-@when("the news of it has reached {name}")
-def wait_news(context, name):
-    context.seen = seen(context, "b1")
+@when("the leave has become known to {name}")
+def wait_leave_known(context, name):
+    context.received_before = count_received(context, "b1")
     address = context.deployment.nodes[name].callers
 
-    def is_quiet():
-        answers = [call(address, "GET", "counter", "/tags/1") for _ in range(_LAST)]
+    def is_avoided():
+        answers = [call(address, "GET", "counter", "/tags/1") for _ in range(_LAST_COUNT)]
         return all(answer.body.startswith(b"a1") for answer in answers)
 
-    context.deployment.wait_until(is_quiet)
+    context.deployment.wait_until(is_avoided)
 
 
 @when("node {name} is killed and started")
--- a/tests/features/steps/limit_log_steps.py
+++ b/tests/features/steps/limit_log_steps.py
@@ -1,4 +1,4 @@
-"""Steps that load a node's admission, with a target that answers by a fake clock."""
+"""Steps that send load to an admission controller, with a simulated target on a fake clock."""
 
 import random
 
@@ -16,7 +16,7 @@
 from standins.fakes import FakeLoop
 
 _SERVICE = "counter"
-_WORK = 0.06
+_WORK_SECONDS = 0.06
 
 
 class _Settings:
@@ -28,19 +28,24 @@
         self.lines = []
 
     def routine(self, event, **fields):
-        """Take no note of what went well."""
+        """Ignore routine events."""
 
     def notable(self, event, **fields):
         self.lines.append((event, fields))
 
 
 class _Target:
-    """A target beside the node that slows down beyond some number of requests."""
+    """A target that slows down when more than ``threshold`` requests run at the same time.
 
-    def __init__(self, loop, bend, longer):
+    :param loop: the fake loop.
+    :param threshold: how many requests may run at the usual speed.
+    :param factor: how many times as long a request takes beyond that.
+    """
+
+    def __init__(self, loop, threshold, factor):
         self._loop = loop
-        self._bend = bend
-        self._longer = longer
+        self._threshold = threshold
+        self._factor = factor
         self._random = random.Random(5)
         self._running = 0
         self.record = InstanceRecord()
@@ -51,10 +56,10 @@
 
     def send(self, request, request_id, idempotent, on_done, is_wanted):
         self._running += 1
-        work = _WORK * max(0.2, self._random.gauss(1.0, 0.3))
-        if self._running > self._bend:
-            work *= self._longer
-        self._loop.call_later(work, lambda: self._answer(on_done))
+        work_s = _WORK_SECONDS * max(0.2, self._random.gauss(1.0, 0.3))
+        if self._running > self._threshold:
+            work_s *= self._factor
+        self._loop.call_later(work_s, lambda: self._answer(on_done))
         return lambda: None
 
     def _answer(self, on_done):
@@ -63,30 +68,33 @@
         on_done(TargetResponse(Response(200, (), b""), parse_target(200, ()), origin))
 
     def on_change(self):
-        """Nobody else wants to know."""
+        """Do nothing; the test has no listener."""
 
-    def update_metadata(self, word):
-        """It tells nothing of its load."""
+    def update_metadata(self, metadata):
+        """Ignore the metadata; it reports no load."""
 
     def record_outcome(self, failed):
-        """Its failures are not looked at."""
+        """Ignore the outcome; the test has no failures."""
 
 
-@given("a node whose target of {slots:d} slots slows down by {longer:f} beyond {bend:d}")
-def bending_node(context, slots, longer, bend):
+@given(
+    "a node whose target of {slots:d} slots takes {factor:f} times as long"
+    " beyond {threshold:d} requests"
+)
+def give_node(context, slots, factor, threshold):
     context.loop, context.log = FakeLoop(), _Log()
-    target = _Target(context.loop, bend, longer)
+    target = _Target(context.loop, threshold, factor)
     crashes = CrashTracker(context.loop, "a", context.log)
-    context.gate = AdmissionController(
+    context.admission_controller = AdmissionController(
         context.loop, _Settings(), HEADER_CODEC, AdmissionQueue(slots), target, crashes, context.log
     )
 
 
-@when("{rate:d} requests a second come there for {seconds:d} s")
-def come(context, rate, seconds):
-    numbers = random.Random(7)
+@when("{rate:d} requests a second arrive there for {seconds:d} s")
+def send_requests(context, rate, seconds):
+    rng = random.Random(7)
     for number in range(rate * seconds):
-        context.loop.advance(numbers.expovariate(rate))
+        context.loop.advance(rng.expovariate(rate))
         message = RelayMessage(
             call_id=number,
             sent_at=context.loop.now(),
@@ -95,7 +103,7 @@
             priority=1,
             objective_s=0.2,
             remaining_s=1.2,
-            work_s=_WORK,
+            work_s=_WORK_SECONDS,
             late_policy=LatePolicy.REJECT,
             request_id=str(number),
             caller_service=_SERVICE,
@@ -104,12 +112,12 @@
             headers=(),
             body=b"",
         )
-        context.gate.submit(message, lambda reply: None)
+        context.admission_controller.submit(message, lambda reply: None)
 
 
-@then("the log says that the limit moved from {before:d} to {limit:d} of {slots:d} slots")
-def limit_logged(context, before, limit, slots):
-    moves = [fields for event, fields in context.log.lines if event == "limit_moved"]
-    assert moves, "no line"
-    first = moves[0]
-    assert (first["before"], first["limit"], first["slots"]) == (before, limit, slots), moves
+@then("the log says that the limit changed from {before:d} to {limit:d} of {slots:d} slots")
+def check_limit_change(context, before, limit, slots):
+    changes = [fields for event, fields in context.log.lines if event == "limit_moved"]
+    assert changes, "the log has no line limit_moved"
+    first = changes[0]
+    assert (first["before"], first["limit"], first["slots"]) == (before, limit, slots), changes
--- a/tests/features/steps/links_steps.py
+++ b/tests/features/steps/links_steps.py
@@ -1,4 +1,4 @@
-"""Steps that join both ends of a link in one process."""
+"""Steps that connect both ends of a link in one process."""
 
 from unittest import mock
 
@@ -16,7 +16,7 @@
 
 
 class JoinedStream(FakeStream):
-    """A stream whose writes the other one reads in the next turn of the loop."""
+    """A stream whose writes the other end reads in the next iteration of the loop."""
 
     def __init__(self, loop):
         super().__init__()
@@ -42,7 +42,7 @@
     close_when_sent = close
 
 
-class FakeGatekeeper:
+class FakeAdmissionController:
     def __init__(self, fails):
         self._fails = fails
         self.load = LoadReport(0, 0, 1, 1.0)
@@ -52,60 +52,62 @@
     def run(self, message, on_done):
         self.bodies.append(message.body)
         if self._fails:
-            raise RuntimeError("a fault for this test")
+            raise RuntimeError("raised by this test")
         self.answers.append(lambda response: on_done(response, self.load))
 
 
-def join(context, fails=False, silence_s=None, is_heard=None, ask=None):
+def connect_link(context, fails=False, silence_s=None, is_host_alive=None, probe_host=None):
     context.loop, context.results, context.cancels = FakeLoop(), {}, {}
-    near, far = JoinedStream(context.loop), JoinedStream(context.loop)
-    near.other, far.other = far, near
-    context.stream = near
-    context.gatekeeper = FakeGatekeeper(fails)
-    handlers = {CallMessage: make_call_handler(context.gatekeeper)}
-    context.server = PeerServer(far, handlers)
-    with mock.patch.object(links, "dial", lambda _loop, _address, _silence_s: near):
-        context.link = PeerLink(context.loop, ("127.0.0.1", 1), silence_s, is_heard, ask)
-    near.on_connect()
+    local, remote = JoinedStream(context.loop), JoinedStream(context.loop)
+    local.other, remote.other = remote, local
+    context.stream = local
+    context.admission_controller = FakeAdmissionController(fails)
+    handlers = {CallMessage: make_call_handler(context.admission_controller)}
+    context.server = PeerServer(remote, handlers)
+    with mock.patch.object(links, "dial", lambda _loop, _address, _silence_s: local):
+        context.link = PeerLink(
+            context.loop, ("127.0.0.1", 1), silence_s, is_host_alive, probe_host
+        )
+    local.on_connect()
     context.loop.advance(1)
 
 
 @given("a link between two nodes")
 def give_link(context):
-    join(context)
+    connect_link(context)
 
 
-@given("a link that bears {seconds:f} s of silence")
+@given("a link that tolerates {seconds:f} s of silence")
 def give_watched_link(context, seconds):
-    join(context, silence_s=seconds)
+    connect_link(context, silence_s=seconds)
 
 
-@given("a link that bears {seconds:f} s of silence, to a host that is heard otherwise")
-def give_link_to_heard(context, seconds):
-    join(context, silence_s=seconds, is_heard=lambda: True)
+@given("a link that tolerates {seconds:f} s of silence, to a host known to be alive")
+def give_link_to_live_host(context, seconds):
+    connect_link(context, silence_s=seconds, is_host_alive=lambda: True)
 
 
-@given("a link that bears {seconds:f} s of silence, to a host that is heard when it is asked")
-def give_link_to_asked(context, seconds):
-    answers = []
+@given("a link that tolerates {seconds:f} s of silence, to a host that answers probes")
+def give_link_to_probed_host(context, seconds):
+    probe_times = []
 
-    def ask():
-        answers.append(context.loop.now())
+    def probe_host():
+        probe_times.append(context.loop.now())
 
-    def is_heard():
-        return bool(answers) and context.loop.now() - answers[-1] <= seconds
+    def is_host_alive():
+        return bool(probe_times) and context.loop.now() - probe_times[-1] <= seconds
 
-    join(context, silence_s=seconds, is_heard=is_heard, ask=ask)
+    connect_link(context, silence_s=seconds, is_host_alive=is_host_alive, probe_host=probe_host)
 
 
 @when("the connection delivers again")
-def deliver_again(context):
+def resume_delivery(context):
     context.stream.silent = context.stream.other.silent = False
 
 
 @given("a slow link between two nodes")
 def give_slow_link(context):
-    join(context)
+    connect_link(context)
     context.stream.held = []
 
 
@@ -118,7 +120,7 @@
     context.cancels[number] = context.link.call(_CALL._replace(body=body), done)
 
 
-@when("call {number:d} is sent behind it")
+@when("call {number:d} is sent after it")
 def send_behind(context, number):
     context.cancels[number] = context.link.call(_CALL._replace(body=b"small"), lambda one: None)
 
@@ -142,21 +144,21 @@
 
 
 @then("the target's node got the bodies of calls {numbers}")
-def got_bodies(context, numbers):
+def check_bodies(context, numbers):
     wanted = [int(number) for number in numbers.split(" and ")]
     sizes = {1: 3 * _MB, 2: 5}
-    got = [len(body) for body in context.gatekeeper.bodies]
+    got = [len(body) for body in context.admission_controller.bodies]
     assert got == [sizes[number] for number in wanted], got
 
 
 @then("the target's node got nothing")
-def got_no_bodies(context):
-    assert not context.gatekeeper.bodies
+def check_no_bodies(context):
+    assert not context.admission_controller.bodies
 
 
-@given("a link to a node whose gatekeeper fails")
+@given("a link to a node whose admission controller fails")
 def give_failing_link(context):
-    join(context, fails=True)
+    connect_link(context, fails=True)
 
 
 @when("call {number:d} is sent over the link")
@@ -169,39 +171,39 @@
 
 
 @when("the connection falls silent")
-def fall_silent(context):
+def silence_connection(context):
     context.stream.silent = context.stream.other.silent = True
 
 
 @when("{seconds:f} s pass")
-def time_passes(context, seconds):
+def pass_time(context, seconds):
     context.loop.advance(seconds)
 
 
-@when("a call whose taker fails is sent over the link")
+@when("a call whose handler fails is sent over the link")
 def send_failing(context):
     def done(_message):
-        raise RuntimeError("a fault for this test")
+        raise RuntimeError("raised by this test")
 
     context.link.call(_CALL, done)
     context.loop.advance(1)
 
 
-@when("the serving side says goodbye")
-def say_goodbye(context):
+@when("the serving side sends go-away")
+def send_go_away(context):
     context.server.say_goodbye()
     context.loop.advance(1)
 
 
 @when('the serving side answers call {number:d} with "{body}"')
 def answer_over_link(context, number, body):
-    context.gatekeeper.answers[number - 1](Response(200, (), body.encode()))
+    context.admission_controller.answers[number - 1](Response(200, (), body.encode()))
     context.loop.advance(1)
 
 
 @when("the serving side answers call {number:d} with 32 MB")
 def answer_large(context, number):
-    context.gatekeeper.answers[number - 1](Response(200, (), bytes(32 * _MB)))
+    context.admission_controller.answers[number - 1](Response(200, (), bytes(32 * _MB)))
     context.loop.advance(1)
 
 
@@ -216,12 +218,12 @@
     try:
         context.stream.close()
     except RuntimeError:
-        # The loop reports it; here the test plays the loop.
+        # In a node the loop reports the error; the test stands in for the loop here.
         context.loop.advance(1)
 
 
-@then("the link takes no more calls but its connection is open")
-def check_retired(context):
+@then("the link accepts no more calls but its connection is open")
+def check_accepts_no_calls(context):
     assert context.link.closed
     assert not context.stream.closed
 
@@ -231,8 +233,8 @@
     assert context.stream.closed
 
 
-@then("the link takes calls")
-def check_takes_calls(context):
+@then("the link accepts calls")
+def check_accepts_calls(context):
     assert not context.link.closed
 
 
