--- a/tests/features/finding_hosts.feature
+++ b/tests/features/finding_hosts.feature
@@ -36,8 +36,8 @@
     Then 12 of them have read the configuration
 
   Scenario: In a large fleet that starts for the first time few nodes read the rows
-    # Guards against calls to the store, which are billed, that grow with the number of nodes because
-    # each of them reads.
+    # Guards against calls to the store, which are billed, that grow with the number of nodes
+    # because each of them reads.
     Given 120 hosts whose nodes start together for the first time and lose 3 of 100 datagrams
     When their nodes run for 4 s
     Then every node has found every other
--- a/tests/features/instances.feature
+++ b/tests/features/instances.feature
@@ -50,7 +50,8 @@
     Then requests are sent to "i-1"
 
   Scenario: A node that starts beside a leaving target sends it no requests
-    # The previous process of the node had acknowledged the leave. One late "ready" must not undo it.
+    # The previous process of the node had acknowledged the leave. One late "ready" must not undo
+    # it.
     Given the health path responds as unhealthy for "i-1"
     When a heartbeat 4 of "i-1" that is ready
     Then no requests are sent
--- a/tests/features/keyed.feature
+++ b/tests/features/keyed.feature
@@ -46,8 +46,8 @@
   @fixture.orders_deployment
   Scenario: The claim takes effect, and both its answer and the read that checks it are lost
     # The caller is answered NOT_RUN although the claim is in the table. The attempt is voided for
-    # good before that answer is sent, so that a retry elsewhere learns this from the owner and takes
-    # the key over.
+    # good before that answer is sent, so that a retry elsewhere learns this from the owner and
+    # takes the key over.
     Given the platform loses the answer of 1 claim and 1 read
     When order k6 is sent for the first time to node a1
     Then it is refused with code 241 and NOT_RUN
@@ -181,9 +181,9 @@
 
   @fixture.orders_deployment
   Scenario: Two concurrent faults, twice
-    # The claim's answer is lost and its owner is killed; the outcome of the retry's claim is unknown
-    # as well, and its owner is frozen. Whatever the answers are, nothing runs twice, and nothing
-    # runs that was answered NOT_RUN.
+    # The claim's answer is lost and its owner is killed; the outcome of the retry's claim is
+    # unknown as well, and its owner is frozen. Whatever the answers are, nothing runs twice, and
+    # nothing runs that was answered NOT_RUN.
     Given the platform loses the answer of 1 claim and 1 read
     When order k17 is sent for the first time to node a1
     Then it is refused with code 241 and NOT_RUN
@@ -199,9 +199,9 @@
 
   @fixture.orders_deployment
   Scenario: A caller's deadline passes while a retry waits for its claim
-    # Found by random runs (seed 1026). The first caller declares its first attempt, and its deadline
-    # passes while the claim's answer is delayed. NOT_RUN would be wrong: a retry waits for that same
-    # attempt, which then runs.
+    # Found by random runs (seed 1026). The first caller declares its first attempt, and its
+    # deadline passes while the claim's answer is delayed. NOT_RUN would be wrong: a retry waits for
+    # that same attempt, which then runs.
     Given the platform holds the answer of 1 claim
     When order k18 is started for the first time at node a1 with a deadline of 300 ms
     And the platform has held 1
--- a/tests/features/leaving.feature
+++ b/tests/features/leaving.feature
@@ -30,8 +30,8 @@
     Then target b1 receives lookups again
 
   Scenario: A target that asked to leave is replaced
-    # The target that asked to leave is followed by a new process, to which the request to leave does
-    # not apply.
+    # The target that asked to leave is followed by a new process, to which the request to leave
+    # does not apply.
     Given a deployment with two targets of counter and one of orders
     When target b1 asks its node to leave
     And target b1 is replaced by a new process
--- a/tests/features/links.feature
+++ b/tests/features/links.feature
@@ -59,8 +59,8 @@
     And the link accepts calls
 
   Scenario: A silent link is closed while its calls still have time
-    # The connection hangs without a reset. Every call on it, and every later one, would wait for its
-    # own deadline. Failed early, calls that may be repeated can still go elsewhere.
+    # The connection hangs without a reset. Every call on it, and every later one, would wait for
+    # its own deadline. Failed early, calls that may be repeated can still go elsewhere.
     Given a link that tolerates 0.6 s of silence
     When call 1 is sent over the link
     And the connection falls silent
@@ -92,8 +92,9 @@
     Then call 1 got "one"
 
   Scenario: A host is probed by other means before its calls are failed
-    # Packets of a saturated link arrive late, and in large systems a host sends its status only once
-    # a second. A host wrongly taken for dead would run an order whose caller was told that it failed.
+    # Packets of a saturated link arrive late, and in large systems a host sends its status only
+    # once a second. A host wrongly taken for dead would run an order whose caller was told that it
+    # failed.
     Given a link that tolerates 0.6 s of silence, to a host that answers probes
     When call 1 is sent over the link
     And the connection falls silent
--- a/tests/features/loop.feature
+++ b/tests/features/loop.feature
@@ -1,35 +1,35 @@
 Feature: The node's loop
 
-  Scenario: A fault in one callback leaves the loop running
-    # One call's code raises in a timer and another's on a socket. Ended by it, the loop would cut
-    # off every call of the node.
+  Scenario: An exception in a callback does not stop the loop
+    # One call's code raises in a timer and another one's on a socket. If the loop ended, every call
+    # of the node would be lost.
     Given a loop of a node
-    When a timer's callback fails and a socket's callback fails
-    Then a later timer still runs and both faults were reported
+    When a timer's callback raises and a socket's callback raises
+    Then a later timer still runs and both exceptions were reported
 
-  Scenario: Cancelled timers leave the memory
-    # Every call has a timer for its deadline, mostly cancelled long before it is due. Kept until
-    # then, a minute's calls would stay in memory.
+  Scenario: Cancelled timers are removed from memory
+    # Every call has a timer for its deadline, which is usually cancelled long before it is due. If
+    # timers were kept until then, the calls of the last minute would stay in memory.
     Given a loop of a node
-    When 10000 timers of a minute are set and cancelled, with 10 others between them
+    When 10000 timers of one minute are set and cancelled, with 10 others between them
     Then fewer than 200 timers are kept and the 10 others among them
 
-  Scenario: A cancelled timer wakes nobody
-    # Nearly every deadline is cancelled. If the loop still woke at each, a node would turn more often
-    # for what is over than for what is due.
+  Scenario: A cancelled timer does not wake the loop
+    # Nearly every deadline is cancelled. If the loop still woke for each, a node would wake more
+    # often for cancelled timers than for those that are due.
     Given a loop of a node
     When 20 timers that are due 5 ms apart are cancelled before another one
     Then the loop wakes only for the other one
 
-  Scenario: A listener without descriptors to spare takes the callers later
-    # The process has no descriptor left, so a caller can't be taken. The listener stays readable:
-    # asked again at once each time, the loop would spin at a full core.
+  Scenario: A listener without free file descriptors accepts callers later
+    # The process has no file descriptor left, so accept fails. The listener stays readable: if the
+    # loop retried at once each time, it would keep a core busy.
     Given a loop of a node
-    When a caller comes while no descriptor is left
-    Then the listener rests
-    And takes the caller when there are descriptors again
+    When a caller connects while no file descriptor is left
+    Then the listener pauses
+    And accepts the caller when there are file descriptors again
 
   Scenario: A signal's handler does not touch the timers
     Given a loop of a node
     When an interruption comes from a signal's handler
-    Then its callback runs in the loop's next turn
+    Then its callback runs in the loop's next iteration
--- a/tests/features/members_model.feature
+++ b/tests/features/members_model.feature
@@ -1,8 +1,9 @@
-Feature: What hosts hold of each other is right in every order of events
+Feature: Hosts know each other's state correctly in every order of events
 
-  Scenario Outline: Every order of telling, suspecting, refuting, leaving, restarting and forgetting
-    # Guards against a dead or left process coming back as live, and a live one held for gone.
-    When the model of members is checked with <tells> tells, <restarts> restarts and <doubles> doubled
+  Scenario Outline: Every order of sending, suspecting, refuting, leaving, restarting and forgetting
+    # Guards against a dead or left process that counts as live again, and against a live one that
+    # counts as gone.
+    When the model of members is checked with <tells> messages, <restarts> restarts and <doubles> duplicates
     Then the 7 properties of members hold in all states
 
     Examples:
@@ -10,15 +11,15 @@
       | 1     | 2        | 0       |
       | 1     | 1        | 1       |
 
-  Scenario: Every order, where each process starts under a clock behind that of the one before
-    # Guards against a host that replaces another one being refused as the older for good.
+  Scenario: Every order, where each process starts with a clock behind that of its predecessor
+    # Guards against a replacement that is rejected for good because it seems older.
     When the model of members is checked with clocks that are behind
     Then the 5 properties of members hold in all states
 
   Scenario Outline: A safeguard left out of the model of members is found
-    # Guards against a model that holds whatever the protocol does.
+    # Guards against a model whose properties hold whatever the protocol does.
     When the model of members is checked without its safeguard: <mutant>
-    Then a shortest trace shows what goes wrong among members
+    Then a shortest trace shows a violated property of members
 
     Examples:
       | mutant                      |
@@ -34,10 +35,10 @@
       | never_outbid                |
 
   Scenario Outline: Random runs of the code itself: <clocks>
-    # Guards against code that differs from the model: loss, delay, reordering, doubling, cuts,
-    # held hosts, kills, restarts and leaves. The same examples each time.
+    # Guards against code that differs from the model. The runs have loss, delay, reordering,
+    # duplicates, network cuts, suspended hosts, kills, restarts and leaves; the examples are fixed.
     When six hosts run <examples> random examples, <clocks>
-    Then no property of theirs is broken
+    Then no property of the hosts is violated
 
     Examples:
       | clocks                         | examples |
@@ -47,7 +48,7 @@
   Scenario Outline: A safeguard left out of the members' code is found by random runs
     # Guards against random runs that pass whatever the code does.
     When six hosts run random examples without their safeguard: <mutant>
-    Then a property of theirs is broken
+    Then a property of the hosts is violated
 
     Examples:
       | mutant             |
--- a/tests/features/steps/load_probes_steps.py
+++ b/tests/features/steps/load_probes_steps.py
@@ -1,4 +1,4 @@
-"""Steps that ask hosts which the test makes up, on a clock of its own."""
+"""Steps that probe simulated hosts on a fake clock."""
 
 import random
 
@@ -11,9 +11,9 @@
 from standins.fakes import FakeLoop
 from standins.hosts import make_status, make_view
 
-_SLOW_SHARE = 0.25
+_SLOW_HOST_RATIO = 0.25
 _SLOWNESS = 4.0
-_STATE_SECONDS = 0.3
+_MEAN_STATE_SECONDS = 0.3
 _WORK_SECONDS = 0.16
 _OBJECTIVE_SECONDS = 0.5
 
@@ -24,24 +24,24 @@
     def __init__(self, count, seed):
         self._random = random.Random(seed)
         self.now = 0.0
-        self.slowness = [self._draw() for _ in range(count)]
+        self.slowness = [self._draw_slowness() for _ in range(count)]
         self.views = [
             make_view(make_status(f"h{one}", push_interval_s=0.0), -random.random())
             for one in range(count)
         ]
 
-    def _draw(self):
-        return _SLOWNESS if self._random.random() < _SLOW_SHARE else 1.0
+    def _draw_slowness(self):
+        return _SLOWNESS if self._random.random() < _SLOW_HOST_RATIO else 1.0
 
     def advance(self, seconds):
         self.now += seconds
         for index, view in enumerate(self.views):
-            if self._random.random() < seconds / _STATE_SECONDS:
-                self.slowness[index] = self._draw()
+            if self._random.random() < seconds / _MEAN_STATE_SECONDS:
+                self.slowness[index] = self._draw_slowness()
             if self.now - view.heard_at >= 1.0:
-                self.hear(index)
+                self.update_status(index)
 
-    def hear(self, index):
+    def update_status(self, index):
         view = self.views[index]
         status = view.status._replace(
             sequence=view.status.sequence + 1, slowness=self.slowness[index]
@@ -55,53 +55,53 @@
         return self.slowness[int(address[1:])] > 1.0
 
 
-def _choose(hosts, chance, asks):
-    candidates, asked = hosts.rank(), set()
-    while asks and (addresses := choose_probes(candidates, asked, chance)):
-        asked.update(addresses)
+def _choose_host(hosts, rng, probes):
+    candidates, probed = hosts.rank(), set()
+    while probes and (addresses := choose_probes(candidates, probed, rng)):
+        probed.update(addresses)
         for address in addresses:
-            hosts.hear(int(address[1:]))
+            hosts.update_status(int(address[1:]))
         candidates = hosts.rank()
-        if len(asked) > 3:
+        if len(probed) > 3:
             break
-    return put_unanswered_last(candidates, asked)[0].address
+    return put_unanswered_last(candidates, probed)[0].address
 
 
-def _share_of_slow(hosts, count, asks):
-    chance, slow = random.Random(2), 0
+def _slow_request_ratio(hosts, count, probes):
+    rng, slow_requests = random.Random(2), 0
     for _ in range(count):
         hosts.advance(0.01)
-        slow += hosts.is_slow(_choose(hosts, chance, asks))
-    return slow / count
+        slow_requests += hosts.is_slow(_choose_host(hosts, rng, probes))
+    return slow_requests / count
 
 
 @given("{count:d} hosts of one service that slow down at random, heard once a second")
-def noisy_hosts(context, count):
-    context.make = lambda: _NoisyHosts(count, seed=1)
+def give_noisy_hosts(context, count):
+    context.make_hosts = lambda: _NoisyHosts(count, seed=1)
 
 
-@when("{count:d} requests are sent by what was heard last")
-def send_by_memory(context, count):
-    context.by_memory = _share_of_slow(context.make(), count, asks=False)
+@when("{count:d} requests are sent by the last status")
+def send_by_last_status(context, count):
+    context.slow_without_probes = _slow_request_ratio(context.make_hosts(), count, probes=False)
 
 
-@when("{count:d} requests are sent after asking")
-def send_after_asking(context, count):
-    context.by_asking = _share_of_slow(context.make(), count, asks=True)
+@when("{count:d} requests are sent after probing")
+def send_after_probing(context, count):
+    context.slow_with_probes = _slow_request_ratio(context.make_hosts(), count, probes=True)
 
 
-@then("more than {percent:d} of 100 went to a slow host by what was heard")
-def check_memory(context, percent):
-    assert context.by_memory > percent / 100, context.by_memory
+@then("more than {percent:d} of 100 went to a slow host by the last status")
+def check_without_probes(context, percent):
+    assert context.slow_without_probes > percent / 100, context.slow_without_probes
 
 
-@then("fewer than {percent:d} of 100 went to a slow host after asking")
-def check_asking(context, percent):
-    assert context.by_asking < percent / 100, context.by_asking
+@then("fewer than {percent:d} of 100 went to a slow host after probing")
+def check_with_probes(context, percent):
+    assert context.slow_with_probes < percent / 100, context.slow_with_probes
 
 
 @given("{count:d} hosts of one service, all idle and heard {when}")
-def idle_hosts(context, count, when):
+def give_idle_hosts(context, count, when):
     heard_at = 0.0 if when == "just now" else -1.0
     views = [
         make_view(make_status(f"h{one}", push_interval_s=0.0), heard_at) for one in range(count)
@@ -111,7 +111,7 @@
 
 
 @when("they are ranked for work that takes no time")
-def rank_no_work(context):
+def rank_without_work(context):
     context.candidates = rank_targets(context.views, 0.0, 0.0, "a", 0.0)
 
 
@@ -120,25 +120,25 @@
     assert len(context.candidates) == count, context.candidates
 
 
-@when("{count:d} entry nodes each choose whom to ask")
-def many_choose(context, count):
+@when("{count:d} entry nodes each choose hosts to probe")
+def choose_probed_hosts(context, count):
     context.asked = set()
     for seed in range(count):
         context.asked.update(choose_probes(context.candidates, (), random.Random(seed)))
 
 
-@then("more than {count:d} hosts are asked")
+@then("more than {count:d} hosts are probed")
 def check_spread(context, count):
     assert len(context.asked) > count, context.asked
 
 
-@then("no host is asked")
-def check_none(context):
+@then("no host is probed")
+def check_no_probes(context):
     assert choose_probes(context.candidates, (), random.Random(1)) == []
 
 
-@given("three hosts that are asked")
-def three_asked(context):
+@given("three hosts that are probed")
+def probe_three_hosts(context):
     context.loop = FakeLoop()
     context.directory = HostDirectory()
     context.names = ["h0", "h1", "h2"]
@@ -152,7 +152,7 @@
     )
     context.started_at = context.loop.now()
     context.done = []
-    _ask(context)
+    _probe_hosts(context)
 
 
 def _probe(context, address):
@@ -162,7 +162,7 @@
         view.probed_at = context.loop.now()
 
 
-def _ask(context):
+def _probe_hosts(context):
     context.prober.probe(
         context.names,
         lambda view: is_sufficient(view, "a", context.loop.now()),
@@ -170,7 +170,7 @@
     )
 
 
-def _answer(context, names, **changes):
+def _deliver_answers(context, names, **changes):
     for name in names:
         status = context.directory.view(name).status
         changed = status._replace(sequence=status.sequence + 1, **changes)
@@ -179,25 +179,25 @@
 
 
 @when("all three answer after {milliseconds:d} ms")
-def all_answer(context, milliseconds):
+def answer_all(context, milliseconds):
     context.loop.advance(milliseconds / 1000)
-    _answer(context, context.names)
+    _deliver_answers(context, context.names)
 
 
 @when("all but one answer after {milliseconds:d} ms")
-def two_answer(context, milliseconds):
+def answer_all_but_one(context, milliseconds):
     context.loop.advance(milliseconds / 1000)
-    _answer(context, context.names[1:])
+    _deliver_answers(context, context.names[1:])
     context.loop.advance(0.05)
 
 
-@then("the choice went on after {milliseconds:d} ms")
-def went_on(context, milliseconds):
+@then("the choice continued after {milliseconds:d} ms")
+def check_continued(context, milliseconds):
     (done_at,) = context.done
     assert abs(done_at - context.started_at - milliseconds / 1000) < 1e-6, done_at
 
 
-def _ranked(context):
+def _rank_addresses(context):
     now = context.loop.now()
     views = list(context.directory.views())
     ranked = rank_targets(views, _WORK_SECONDS, now, "a", _OBJECTIVE_SECONDS)
@@ -205,64 +205,64 @@
 
 
 @then("{seconds:f} s later the silent host is ranked last")
-def silent_last(context, seconds):
+def check_silent_last(context, seconds):
     context.loop.advance(seconds)
-    assert _ranked(context)[-1] == "h0", _ranked(context)
+    assert _rank_addresses(context)[-1] == "h0", _rank_addresses(context)
 
 
-@then("once it is heard it is not")
-def heard_again(context):
-    _answer(context, ["h0"])
-    assert _ranked(context)[0] == "h0", _ranked(context)
+@then("once it answers it is ranked first")
+def check_first_after_answer(context):
+    _deliver_answers(context, ["h0"])
+    assert _rank_addresses(context)[0] == "h0", _rank_addresses(context)
 
 
 @when("one of them answers after {milliseconds:d} ms that it is fast and has room")
-def fast_answer(context, milliseconds):
+def answer_fast(context, milliseconds):
     context.loop.advance(milliseconds / 1000)
-    _answer(context, ["h1"], slowness=1.0)
+    _deliver_answers(context, ["h1"], slowness=1.0)
     context.loop.advance(0.05)
 
 
 @when("one of them answers after {milliseconds:d} ms that it is fast and full")
-def full_answer(context, milliseconds):
+def answer_full(context, milliseconds):
     context.loop.advance(milliseconds / 1000)
-    _answer(context, ["h1"], slowness=1.0, running=7)
+    _deliver_answers(context, ["h1"], slowness=1.0, running=7)
     context.loop.advance(0.05)
 
 
-@when("they are asked again within {milliseconds:d} ms")
-def asked_again(context, milliseconds):
+@when("they are probed again within {milliseconds:d} ms")
+def probe_again(context, milliseconds):
     context.loop.advance(milliseconds / 1000)
-    _ask(context)
+    _probe_hosts(context)
 
 
-@then("{count:d} questions were sent")
-def sent_exactly(context, count):
+@then("{count:d} probes were sent")
+def check_probes_sent(context, count):
     assert len(context.sent) == count, context.sent
 
 
-@then("both choices go on when all three answer")
-def both_go_on(context):
-    _answer(context, context.names)
+@then("both choices continue when all three answer")
+def check_both_continue(context):
+    _deliver_answers(context, context.names)
     assert len(context.done) == 2
 
 
-@when("{count:d} further choices ask three hosts within a second, each answered at once")
-def many_choices(context, count):
-    _answer(context, context.names)
+@when("{count:d} further choices probe three hosts within a second, each answered at once")
+def probe_repeatedly(context, count):
+    _deliver_answers(context, context.names)
     for _ in range(count):
         context.loop.advance(1 / count)
-        _ask(context)
-        _answer(context, context.names)
+        _probe_hosts(context)
+        _deliver_answers(context, context.names)
     context.loop.advance(0.1)
     context.choices = count + 1
 
 
-@then("at most {count:d} questions were sent")
-def sent_at_most(context, count):
+@then("at most {count:d} probes were sent")
+def check_max_probes(context, count):
     assert len(context.sent) <= count, len(context.sent)
 
 
-@then("every choice went on")
-def all_went_on(context):
+@then("every choice continued")
+def check_all_continued(context):
     assert len(context.done) == context.choices, len(context.done)
--- a/tests/features/steps/logs_steps.py
+++ b/tests/features/steps/logs_steps.py
@@ -1,4 +1,4 @@
-"""Steps that read what nodes log, by the page, by a slow reader and by the command line."""
+"""Steps that check the logs of nodes: their documentation, slow readers and the command line."""
 
 import json
 import os
@@ -20,11 +20,11 @@
 
 
 @then("docs/LOGS.md lists each event with its fields")
-def page_lists(context):
+def check_page(context):
     rows = re.findall(r"^\| `(\w+)` \| (.*) \| (.*) \|$", _PAGE.read_text(), re.MULTILINE)
-    told = {name: set(re.findall(r"`(\w+)`", fields)) for name, _, fields in rows}
-    assert told == _KNOWN, {
-        name for name in {**told, **_KNOWN} if told.get(name) != _KNOWN.get(name)
+    listed = {name: set(re.findall(r"`(\w+)`", fields)) for name, _, fields in rows}
+    assert listed == _KNOWN, {
+        name for name in {**listed, **_KNOWN} if listed.get(name) != _KNOWN.get(name)
     }
 
 
@@ -33,7 +33,7 @@
 
 
 @given('the logs of a request that was declined by "b" and answered by "c"')
-def made_up_logs(context):
+def give_logs(context):
     context.lines = {
         "a": [
             ("declined", 100.01, {"code": "TARGET_BUSY", "target": "b"}),
@@ -45,21 +45,21 @@
 
 
 @given('the clock of "c" is 3 s behind and that of "b" is 3 s ahead')
-def skewed(context):
+def write_skewed_logs(context):
     offsets = {"a": 0, "b": 3, "c": -3}
     directory = tempfile.TemporaryDirectory(prefix="camphorshelf-")
     context.add_cleanup(directory.cleanup)
     context.directory = Path(directory.name)
     for host, lines in context.lines.items():
-        text = [_line(host, event, at + offsets[host], **more) for event, at, more in lines]
+        text = [_line(host, event, at + offsets[host], **fields) for event, at, fields in lines]
         (context.directory / f"{host}.log").write_text("\n".join(text) + "\n")
 
 
 @then('its hops are "{hops}"')
-def hops_are(context, hops):
+def check_hops(context, hops):
     found = find_hops("r1", str(context.directory / "*.log"))
-    told = ", ".join(f"{hop.host} {hop.event}" for hop in found)
-    assert told == hops, told
+    shown = ", ".join(f"{hop.host} {hop.event}" for hop in found)
+    assert shown == hops, shown
 
 
 def _open_log(context):
@@ -72,19 +72,19 @@
 
 @given("a log whose reader has stopped reading")
 @given("a log with a reader")
-def log_with_pipe(context):
+def give_log(context):
     _open_log(context)
 
 
 @when("{count:d} lines are logged within {seconds:d} s")
-def many_lines(context, count, seconds):
+def log_lines(context, count, seconds):
     for number in range(count):
         context.log.notable("fault", traceback="x" * 100, number=number)
         context.loop.advance(seconds / count)
 
 
 @then("the log holds at most 600 kB of them")
-def bounded(context):
+def check_unwritten(context):
     assert context.log.unwritten_bytes <= 600_000, context.log.unwritten_bytes
 
 
@@ -99,19 +99,19 @@
     return [json.loads(line) for line in data.decode().splitlines()]
 
 
-@then("when the reader goes on, it gets whole lines and is told how many are missing")
-def reader_goes_on(context):
+@then("when the reader resumes, it gets whole lines and the number of missing lines")
+def resume_reading(context):
     lines = _read_all(context)
     assert lines and all("event" in line for line in lines)
     context.log.notable("fault", traceback="last")
     context.loop.advance(0.5)
     lines += _read_all(context)
-    told = [line for line in lines if line["event"] == "lines_dropped"]
-    assert told and told[-1]["unread"] > 0, told
+    dropped = [line for line in lines if line["event"] == "lines_dropped"]
+    assert dropped and dropped[-1]["unread"] > 0, dropped
 
 
-@when("1000 requests that went well and 50 that failed are logged in one second")
-def good_and_bad(context):
+@when("1000 successful requests and 50 failed ones are logged in one second")
+def log_requests(context):
     for number in range(1050):
         if number % 21 == 0:
             context.log.notable("refused", request=f"bad{number}")
@@ -122,20 +122,20 @@
     context.lines = _read_all(context)
 
 
-@then("all 50 lines of those that failed are there")
-def failed_are_there(context):
+@then("all 50 lines of failed requests are there")
+def check_failed_lines(context):
     assert sum(line["event"] == "refused" for line in context.lines) == 50
 
 
-@then("it is told how many are missing")
-def told_missing(context):
-    good = sum(line["event"] == "answered" for line in context.lines)
-    told = [line for line in context.lines if line["event"] == "lines_dropped"]
-    assert told and told[-1]["rate"] == 1000 - good, (told, good)
+@then("the log says how many lines are missing")
+def check_missing_count(context):
+    succeeded = sum(line["event"] == "answered" for line in context.lines)
+    dropped = [line for line in context.lines if line["event"] == "lines_dropped"]
+    assert dropped and dropped[-1]["rate"] == 1000 - succeeded, (dropped, succeeded)
 
 
 @then("each line of their logs is a known event with its fields")
-def known_events(context):
+def check_known_events(context):
     relays = context.relays
     relays.wait_until(lambda: all(_lines(relays, name) for name in relays.names))
     for name in relays.names:
@@ -149,17 +149,17 @@
     return [json.loads(line) for line in text.splitlines() if line.endswith("}")]
 
 
-@then('the command line tells from the logs that "{host}" lost it at its target')
-def command_line(context, host):
+@then('the command line reports from the logs that "{host}" lost it at its target')
+def check_command_line(context, host):
     pattern = str(context.relays.directory / "node-*.log")
     command = [str(Path(sys.executable).with_name("camphorshelf")), "explain", context.request_id]
     command += ["--logs", pattern]
 
-    def told():
+    def explain():
         done = subprocess.run(command, capture_output=True, text=True, check=False)
         return done.stdout if "refused" in done.stdout and "run_failed" in done.stdout else None
 
-    context.relays.wait_until(told, 3.0)
-    first, *_, last = told().splitlines()
+    context.relays.wait_until(explain, 3.0)
+    first, *_, last = explain().splitlines()
     assert host in first and "run_failed" in first and "TARGET_LOST" in first, first
     assert "refused" in last and "OUTCOME_UNKNOWN" in last, last
--- a/tests/features/steps/loop_steps.py
+++ b/tests/features/steps/loop_steps.py
@@ -16,17 +16,17 @@
 
 
 class Root(Component):
-    """Stands for the node that the loop belongs to."""
+    """Stands in for the node that owns the loop."""
 
 
 def run_until(context, condition):
-    """Run the loop until the condition holds, at most some seconds."""
-    turns = 500
+    """Run the loop until the condition holds, for at most 500 checks 10 ms apart."""
+    checks_left = 500
 
     def check():
-        nonlocal turns
-        turns -= 1
-        if condition() or not turns:
+        nonlocal checks_left
+        checks_left -= 1
+        if condition() or not checks_left:
             context.root.stop()
         else:
             context.loop.call_later(0.01, check)
@@ -40,37 +40,37 @@
 def give_loop(context):
     context.root = Root()
     context.loop = Loop().register(context.root)
-    context.faults = []
-    context.loop.on_error = context.faults.append
+    context.errors = []
+    context.loop.on_error = context.errors.append
 
 
-@when("a timer's callback fails and a socket's callback fails")
-def fail_callbacks(context):
-    near, far = socket.socketpair()
-    context.add_cleanup(near.close)
-    context.add_cleanup(far.close)
+@when("a timer's callback raises and a socket's callback raises")
+def raise_in_callbacks(context):
+    local, remote = socket.socketpair()
+    context.add_cleanup(local.close)
+    context.add_cleanup(remote.close)
 
-    def fail_timer():
-        raise RuntimeError("a timer's fault for this test")
+    def raise_in_timer():
+        raise RuntimeError("raised in a timer by this test")
 
-    def fail_socket(_mask):
-        context.loop.unwatch(near.fileno())
-        raise RuntimeError("a socket's fault for this test")
+    def raise_in_socket(_mask):
+        context.loop.unwatch(local.fileno())
+        raise RuntimeError("raised on a socket by this test")
 
-    far.send(b"x")
-    context.loop.watch(near.fileno(), READABLE, fail_socket)
-    context.loop.call_later(0, fail_timer)
+    remote.send(b"x")
+    context.loop.watch(local.fileno(), READABLE, raise_in_socket)
+    context.loop.call_later(0, raise_in_timer)
 
 
-@then("a later timer still runs and both faults were reported")
-def check_still_runs(context):
-    run_until(context, lambda: len(context.faults) == 2)
+@then("a later timer still runs and both exceptions were reported")
+def check_loop_runs(context):
+    run_until(context, lambda: len(context.errors) == 2)
     ran = []
     context.loop.call_later(0.02, lambda: ran.append(True))
     run_until(context, lambda: ran)
 
 
-@when("{count:d} timers of a minute are set and cancelled, with {others:d} others between them")
+@when("{count:d} timers of one minute are set and cancelled, with {others:d} others between them")
 def set_and_cancel(context, count, others):
     context.others = []
     for number in range(count):
@@ -88,13 +88,13 @@
 
 
 @when("{count:d} timers that are due {milliseconds:d} ms apart are cancelled before another one")
-def cancel_in_turn(context, count, milliseconds):
-    context.turns = 0
-    real = context.loop._turn
+def cancel_before_other(context, count, milliseconds):
+    context.iterations = 0
+    original = context.loop._turn
 
-    def turn(event):
-        context.turns += 1
-        real(event)
+    def count_iteration(event):
+        context.iterations += 1
+        original(event)
 
     seconds = milliseconds / 1000
     timers = [
@@ -103,28 +103,28 @@
     for timer in timers:
         timer.cancel()
     context.loop.call_later(seconds * (count + 1), context.root.stop)
-    with mock.patch.object(context.loop, "_turn", turn):
+    with mock.patch.object(context.loop, "_turn", count_iteration):
         context.root.run()
 
 
 @then("the loop wakes only for the other one")
-def check_turns(context):
-    # One turn for the timer; circuits polls again without waiting while it starts and stops.
-    assert context.turns <= 6, context.turns
+def check_iterations(context):
+    # One iteration for the timer; circuits polls again without waiting while it starts and stops.
+    assert context.iterations <= 6, context.iterations
 
 
-@when("a caller comes while no descriptor is left")
-def come_without_descriptors(context):
-    context.accepted, context.tries = [], 0
-    real = socket.socket.accept
+@when("a caller connects while no file descriptor is left")
+def connect_without_descriptors(context):
+    context.accepted, context.attempts = [], 0
+    original = socket.socket.accept
     context.exhausted = True
 
     class Listener(socket.socket):
         def accept(self):
-            context.tries += 1
+            context.attempts += 1
             if context.exhausted:
                 raise OSError(errno.EMFILE, "Too many open files")
-            return real(self)
+            return original(self)
 
     with mock.patch.object(socket, "socket", Listener):
         context.close = streams.listen(
@@ -137,15 +137,15 @@
     context.add_cleanup(context.close)
 
 
-@then("the listener rests")
-def check_rests(context):
-    run_until(context, lambda: context.tries > 0)
+@then("the listener pauses")
+def check_pauses(context):
+    run_until(context, lambda: context.attempts > 0)
     assert context.loop._callbacks == {}
     assert context.accepted == []
 
 
-@then("takes the caller when there are descriptors again")
-def check_takes(context):
+@then("accepts the caller when there are file descriptors again")
+def check_accepts(context):
     context.exhausted = False
     run_until(context, lambda: context.accepted)
     context.accepted[0].close()
@@ -160,11 +160,11 @@
         context.loop.interrupt(lambda: context.ran.append(True))
         assert context.loop._timers == timers
 
-    old = signal.signal(signal.SIGUSR1, on_signal)
-    context.add_cleanup(signal.signal, signal.SIGUSR1, old)
+    previous = signal.signal(signal.SIGUSR1, on_signal)
+    context.add_cleanup(signal.signal, signal.SIGUSR1, previous)
     os.kill(os.getpid(), signal.SIGUSR1)
 
 
-@then("its callback runs in the loop's next turn")
+@then("its callback runs in the loop's next iteration")
 def check_interrupted(context):
     run_until(context, lambda: context.ran)
--- a/tests/features/steps/members_model_steps.py
+++ b/tests/features/steps/members_model_steps.py
@@ -1,4 +1,4 @@
-"""Steps that check the model of members and run hosts' peers at random."""
+"""Steps that check the model of members and run the code of hosts with random events."""
 
 from behave import then, when
 from minicheck import check_safety
@@ -13,7 +13,7 @@
 _MUTANT_EXAMPLES = 100
 _STEPS = 12
 _SUSPICIONS = 1
-_BEHIND = {"tells": 1, "restarts": 2, "suspicions": _SUSPICIONS, "doubles": 0}
+_BEHIND_BUDGETS = {"tells": 1, "restarts": 2, "suspicions": _SUSPICIONS, "doubles": 0}
 _MUTANT_BUDGETS = {"tells": 1, "restarts": 2, "suspicions": 2, "doubles": 1}
 _MACHINES = {
     "with clocks in order": MembersMachine,
@@ -22,8 +22,8 @@
 
 
 @when(
-    "the model of members is checked with {tells:d} tells, {restarts:d} restarts"
-    " and {doubles:d} doubled"
+    "the model of members is checked with {tells:d} messages, {restarts:d} restarts"
+    " and {doubles:d} duplicates"
 )
 def check_model(context, tells, restarts, doubles):
     model = make_model(tells=tells, restarts=restarts, suspicions=_SUSPICIONS, doubles=doubles)
@@ -32,7 +32,7 @@
 
 @when("the model of members is checked with clocks that are behind")
 def check_behind(context):
-    _check(context, make_model(is_clock_behind=True, **_BEHIND))
+    _check(context, make_model(is_clock_behind=True, **_BEHIND_BUDGETS))
 
 
 def _check(context, model):
@@ -53,13 +53,13 @@
     _check(context, make_model(mutant, mutant == "never_outbid", **_MUTANT_BUDGETS))
 
 
-@then("a shortest trace shows what goes wrong among members")
+@then("a shortest trace shows a violated property of members")
 def check_trace(context):
     properties = context.report["properties"].items()
-    broken = {name: one["counterexample"] for name, one in properties if one["holds"] is False}
-    assert broken, context.report
-    for name, trace in broken.items():
-        print("\n".join([f"broken: {name}", *(step["label"] or "start" for step in trace)]))
+    violated = {name: one["counterexample"] for name, one in properties if one["holds"] is False}
+    assert violated, context.report
+    for name, trace in violated.items():
+        print("\n".join([f"violated: {name}", *(step["label"] or "start" for step in trace)]))
 
 
 @when("six hosts run {examples:d} random examples, {clocks}")
@@ -69,9 +69,10 @@
         run_fixed(context.machine, examples, _STEPS)
 
 
-@then("no property of theirs is broken")
+@then("no property of the hosts is violated")
 def check_hosts(context):
-    # A broken one fails the run itself, with a minimal trace; that it ran at all is told by:
+    # A violated property fails the run itself, with a minimal trace. This checks that the run took
+    # enough steps.
     assert context.machine.steps > 80, context.machine.steps
 
 
@@ -88,6 +89,6 @@
         print(error)
 
 
-@then("a property of theirs is broken")
-def check_broken(context):
+@then("a property of the hosts is violated")
+def check_violated(context):
     assert context.caught is not None
