--- a/tests/features/pipelining.feature
+++ b/tests/features/pipelining.feature
@@ -1,26 +1,27 @@
-Feature: Requests that a caller sends ahead on one connection
+Feature: Requests that a caller pipelines on one connection
 
-  Load pattern: a caller sends several lookups without waiting for answers. Begun one after the
-  other, each waits for all before it while targets have free slots. Work that must not run twice
-  (POST here) is under way alone.
+  A caller sends several lookups without waiting for their answers. If they were started one after
+  the other, each would wait for all before it while targets have free slots. Requests that must
+  not run twice (POST here) run alone.
 
-  Scenario: Lookups sent ahead are under way together, and answered in order
+  Scenario: Pipelined lookups run concurrently and are answered in order
     # Guards against an answer that its caller takes for that of another request.
     Given a caller's connection on which lookups may overlap
     When the caller sends the requests "GET /1, GET /2, GET /3"
-    Then the requests "/1, /2, /3" have been begun
+    Then the requests "/1, /2, /3" have been started
     When "/2" is answered
     Then nothing was sent to the caller yet
     When "/1" is answered
     Then the caller got the answers "/1, /2"
 
-  Scenario Outline: Work that must not run twice is under way alone
-    # Guards against an order that its caller sends again after a close before its answer.
+  Scenario Outline: A request that must not run twice runs alone
+    # Guards against an order that its caller repeats because the connection closed before the
+    # answer.
     Given a caller's connection on which lookups may overlap
     When the caller sends the requests "<sent>"
-    Then the requests "<first>" have been begun
+    Then the requests "<first>" have been started
     When "/1" is answered
-    Then the requests "<then>" have been begun
+    Then the requests "<then>" have been started
 
     Examples:
       | sent                    | first | then       |
@@ -28,47 +29,47 @@
       | POST /1, GET /2, GET /3 | /1    | /1, /2, /3 |
       | POST /1, POST /2        | /1    | /1, /2     |
 
-  Scenario: What stands behind the last request of a connection is never begun
-    # Guards against work for a caller that has already sent it elsewhere.
+  Scenario: What follows the last request of a connection is never started
+    # Guards against running requests that the caller has already sent elsewhere.
     Given a caller's connection on which lookups may overlap
     When the caller sends the requests "GET /1 close, GET /2, GET /3, POST /4"
-    Then the requests "/1" have been begun
+    Then the requests "/1" have been started
     When "/1" is answered
     Then the answer says that the connection closes, and it ends
-    And the requests "/1" have been begun
+    And the requests "/1" have been started
 
-  Scenario: A caller that sends very many ahead has eight under way
+  Scenario: A caller that pipelines very many requests has eight of them in flight
     # Guards against one connection that takes all slots and fills the memory.
     Given a caller's connection on which lookups may overlap
     When the caller sends 100 requests at once
-    Then 8 requests have been begun
+    Then 8 requests have been started
     And reading is held back with at most 16 requests waiting
     When "/0" is answered
-    Then 9 requests have been begun
+    Then 9 requests have been started
     And the target can answer the other 99 in order
 
-  Scenario: A caller that reads slowly gets no more begun
+  Scenario: No more requests of a caller that reads slowly are started
     Given a caller's connection on which lookups may overlap
     When the caller takes nothing and sends 20 requests at once
     And "/0" is answered
-    Then 8 requests have been begun
+    Then 8 requests have been started
     When the caller takes everything
-    Then 9 requests have been begun
+    Then 9 requests have been started
 
-  Scenario: A caller that hangs up takes all its requests along
+  Scenario: All requests of a caller that disconnects are cancelled
     Given a caller's connection on which lookups may overlap
     When the caller sends the requests "GET /1, GET /2, GET /3"
     And "/2" is answered
     And the caller hangs up
     Then the requests "/1, /3" were cancelled
 
-  Scenario: A fault in one request harms none beside it
-    Given a caller's connection on which lookups may overlap and the first one fails inside
+  Scenario: An internal error in one request does not affect the others
+    Given a caller's connection on which lookups may overlap and the first one fails internally
     When the caller sends the requests "GET /1, GET /2"
     And "/2" is answered
     Then the caller got a refusal with code 109 and then the answer "/2"
 
-  Scenario: A stopping node answers what was sent ahead, and closes then
+  Scenario: A stopping node answers the pipelined requests and then closes
     Given a caller's connection on which lookups may overlap
     When the caller sends the requests "GET /1, GET /2"
     And the node finishes the connection
@@ -77,14 +78,14 @@
     When "/2" is answered
     Then the last answer says that the connection closes, and it ends
 
-  Scenario Outline: A stopping node begins nothing more of a caller that always sends ahead
-    # Guards against a stopping node that cuts off a request it should not have begun.
+  Scenario Outline: A stopping node starts no more requests of a caller that always pipelines
+    # Guards against a stopping node that aborts a request it should not have started.
     Given <a connection>
     When the caller sends the requests "POST /1, GET /2, GET /3"
     And the node finishes the connection
     And "/1" is answered
     Then the answer says that the connection closes, and it ends
-    And the requests "/1" have been begun
+    And the requests "/1" have been started
 
     Examples:
       | a connection                                     |
--- a/tests/features/steps/metrics_steps.py
+++ b/tests/features/steps/metrics_steps.py
@@ -35,7 +35,7 @@
     context.log = Log("a1", context.loop, level)
 
 
-@when("a caller sends 3 lookups and one call to a service that is not known through {name}")
+@when("a caller sends 3 lookups and one call to an unknown service through {name}")
 def send_counted(context, name):
     address = context.deployment.nodes[name].callers
     context.before = read_metrics(context, name)
@@ -44,7 +44,7 @@
     assert call(address, "GET", "nothing", "/").status == 404
 
 
-@then("the metrics of {name} tell {count:d} calls to {service} with code {code:d}")
+@then("the metrics of {name} show {count:d} calls to {service} with code {code:d}")
 def check_counted(context, name, count, service, code):
     def read(text):
         line = rf'^camphorshelf_calls_total\{{(?=[^}}]*code="{code}")[^}}]*service="{service}"'
@@ -55,7 +55,7 @@
     assert read(text) - read(context.before) == count, text
 
 
-@then("the metrics of {name} tell callers, peer links, slots and durations")
+@then("the metrics of {name} show callers, peer links, slots and durations")
 def check_gauges(context, name):
     text = read_metrics(context, name)
     for wanted in ("callers", "peer_links", "target_slots", "target_in_flight", "target_queued"):
@@ -63,7 +63,7 @@
     assert re.search(r'^camphorshelf_call_duration\S*quantile="0.99"\} [\d.]+$', text, re.MULTILINE)
 
 
-@given("metrics on a loop of the test")
+@given("metrics on a fake loop")
 def give_metrics(context):
     context.loop = FakeLoop()
     context.metrics = Metrics(context.loop)
@@ -84,45 +84,45 @@
     assert abs(value - milliseconds) <= milliseconds / 100 + 0.1, value
 
 
-@when("{seconds:g} seconds pass on that loop")
-def pass_on_loop(context, seconds):
+@when("{seconds:g} seconds pass on the fake loop")
+def pass_time(context, seconds):
     context.loop.advance(seconds)
 
 
-@given("a log on a loop of the test")
+@given("a log on a fake loop")
 def give_log(context):
     make_log(context, "INFO")
 
 
-@given("a log at level {level} on a loop of the test")
-def give_quiet_log(context, level):
+@given("a log at level {level} on a fake loop")
+def give_log_at_level(context, level):
     make_log(context, level)
 
 
-@when("two decisions 100 ms apart are noted")
-def note_two(context):
+@when("two decisions 100 ms apart are logged")
+def log_two(context):
     context.log.decision("route", target="c1", reason="idle")
     context.loop.advance(0.1)
     context.log.decision("route", target="b1", reason="less loaded")
 
 
-@when("{count:d} decisions are noted in one turn")
-def note_many(context, count):
+@when("{count:d} decisions are logged in one iteration of the loop")
+def log_many(context, count):
     for number in range(count):
         context.log.decision("route", number=number)
 
 
-@when("a decision is noted and then a fault")
-def note_fault(context):
+@when("a decision is logged and then an error")
+def log_error(context):
     context.log.decision("route", target="c1")
     try:
-        raise RuntimeError("a fault for this test")
+        raise RuntimeError("raised by this test")
     except RuntimeError as error:
         context.log.fault(error)
 
 
-@then("none of them is kept")
-def check_none_kept(context):
+@then("none of them is buffered")
+def check_none_buffered(context):
     assert context.log._noted == []
 
 
@@ -143,15 +143,15 @@
     assert len(context.output.getvalue().splitlines()) == count
 
 
-@then("the decision's line is followed by the fault's with its traceback")
-def check_fault(context):
+@then("the decision's line is followed by the error's with its traceback")
+def check_error(context):
     first, second, *rest = context.output.getvalue().splitlines()
     assert "event=route" in first
     assert "level=error node=a1 event=fault" in second
-    assert rest[-1] == "RuntimeError: a fault for this test"
+    assert rest[-1] == "RuntimeError: raised by this test"
 
 
-@then("docs/RESULT-CODES.md tells each code's number, name and HTTP status, and no other")
+@then("docs/RESULT-CODES.md lists each code's number, name and HTTP status, and no other code")
 def check_table(context):
     rows = {(int(n), name, int(status)) for n, name, status in _ROW.findall(_TABLE.read_text())}
     wanted = {(int(code), code.name, http_status(code)) for code in Code if code is not Code.OK}
--- a/tests/features/steps/path_steps.py
+++ b/tests/features/steps/path_steps.py
@@ -1,4 +1,4 @@
-"""Steps about single calls through the deployment."""
+"""Steps that send single requests through a deployment."""
 
 from behave import then, when
 
--- a/tests/features/steps/pipelining_steps.py
+++ b/tests/features/steps/pipelining_steps.py
@@ -1,4 +1,4 @@
-"""Steps that send requests ahead on one connection."""
+"""Steps that pipeline requests on one connection."""
 
 from behave import given, then, when
 
@@ -10,12 +10,12 @@
     return request.method == "GET"
 
 
-def find(context, path):
+def find_exchange(context, path):
     (found,) = [one for one in context.exchanges if one.request.path == path.encode()]
     return found
 
 
-def paths(exchanges):
+def join_paths(exchanges):
     return ", ".join(exchange.request.path.decode() for exchange in exchanges)
 
 
@@ -24,7 +24,7 @@
     connect(context, may_overlap=is_lookup)
 
 
-@given("a caller's connection on which lookups may overlap and the first one fails inside")
+@given("a caller's connection on which lookups may overlap and the first one fails internally")
 def open_overlapping_failing(context):
     connect(context, failing=1, may_overlap=is_lookup)
 
@@ -33,23 +33,25 @@
 def send_requests(context, requests):
     heads = []
     for words in (text.split() for text in requests.split(", ")):
-        closing = "Connection: close\r\n" if "close" in words else ""
-        body = "Content-Length: 0\r\n" if words[0] == "POST" else ""
-        heads.append(f"{words[0]} {words[1]} HTTP/1.1\r\nHost: a\r\n{closing}{body}\r\n")
+        connection_header = "Connection: close\r\n" if "close" in words else ""
+        length_header = "Content-Length: 0\r\n" if words[0] == "POST" else ""
+        heads.append(
+            f"{words[0]} {words[1]} HTTP/1.1\r\nHost: a\r\n{connection_header}{length_header}\r\n"
+        )
     context.stream.on_data("".join(heads).encode())
 
 
 @when('"{path}" is answered')
 def answer_path(context, path):
-    find(context, path).answer(Response(200, (), path.encode()))
+    find_exchange(context, path).answer(Response(200, (), path.encode()))
 
 
-@then('the requests "{expected}" have been begun')
-def check_begun(context, expected):
-    assert paths(context.exchanges) == expected, paths(context.exchanges)
+@then('the requests "{expected}" have been started')
+def check_started(context, expected):
+    assert join_paths(context.exchanges) == expected, join_paths(context.exchanges)
 
 
-@then("{count:d} requests have been begun")
+@then("{count:d} requests have been started")
 def check_count(context, count):
     assert len(context.exchanges) == count, len(context.exchanges)
 
@@ -57,14 +59,14 @@
 @then("the target can answer the other {count:d} in order")
 def answer_others(context, count):
     for number in range(1, count + 1):
-        find(context, f"/{number}").answer(Response(200, (), b"/%d" % number))
+        find_exchange(context, f"/{number}").answer(Response(200, (), b"/%d" % number))
     bodies = [answer.body.decode() for answer in read_answers(context)]
     assert bodies == [f"/{number}" for number in range(count + 1)], bodies
 
 
 @then('the requests "{expected}" were cancelled')
 def check_cancelled(context, expected):
-    assert paths(context.cancelled) == expected, paths(context.cancelled)
+    assert join_paths(context.cancelled) == expected, join_paths(context.cancelled)
 
 
 @then("the last answer says that the connection closes, and it ends")
