--- a/tests/features/platform_formats.feature
+++ b/tests/features/platform_formats.feature
@@ -1,16 +1,16 @@
-Feature: The platform's formats are read once and checked
+Feature: The platform's formats are parsed and validated
 
-  Scenario: A field of the settings that is missing or wrong is named
-    Given good settings of the platform
-    Then they are read
+  Scenario: The error names the setting that is missing or invalid
+    Given valid settings of the platform
+    Then they are parsed
     And without "self.zone" the error names "self.zone"
     And with "terms.bounds.retry_ratio=much" the error names "terms.bounds.retry_ratio"
     And with "network.listen.inbound=nowhere" the error names "network.listen.inbound"
-    And with "a.new.field=1" they are read
+    And with "a.new.field=1" they are parsed
 
-  Scenario Outline: A document that is not valid names no route
+  Scenario Outline: An invalid document is rejected
     When the operators' document has <fault>
-    Then it is refused
+    Then it is rejected
 
     Examples:
       | fault                    |
@@ -24,14 +24,14 @@
       | a cold rate below 0      |
       | a text as cold rate      |
 
-  Scenario: What a cold target bears is read from the document and the settings
-    Given good settings of the platform
-    Then with "terms.bounds.cold_over=1.5" a cold target bears 1.5 times its rate
-    When the operators' document says that cold targets bear 7.0 a second for 3.0 s
+  Scenario: The rate of a cold target is read from the document and the settings
+    Given valid settings of the platform
+    Then with "terms.bounds.cold_over=1.5" a cold target gets 1.5 times its rate
+    When the operators' document allows cold targets 7.0 requests a second for 3.0 s
     Then the service has that rate and time
 
-  Scenario Outline: What a target says of being cold
-    When a target's health says "<value>" of being cold
+  Scenario Outline: The warm-up time that a target reports
+    When a target's header cold-ms is "<value>"
     Then it is cold for <seconds> s
 
     Examples:
@@ -42,15 +42,15 @@
       | warm  | None    |
       | nan   | None    |
 
-  Scenario: Evacuations are the keys of rows beside the document
+  Scenario: Evacuations are read from the keys of the rows beside the document
     When the operators' rows are "config, evacuate/a, evacuate/, evacuation, evacuate/b/c"
     Then the failure domains "a, b/c" are evacuated
 
-  Scenario: Parts of weight nothing get nothing
+  Scenario: Parts with weight 0 are dropped
     When the operators' document splits a route 90, 0 and 10
     Then the route has 2 parts
 
-  Scenario Outline: A refusal says "not run" only when that is certain
+  Scenario Outline: A refusal's status says "not run" only when that is certain
     Then a refusal <code> that <ran> is answered <status>
 
     Examples:
@@ -67,7 +67,7 @@
   Scenario: A Retry-After keeps its fractions
     Then a refusal with 130 ms of Retry-After says "0.130"
 
-  Scenario Outline: What a target tells of its load
+  Scenario Outline: The load that a target reports
     When a target's load header is "<value>"
     Then its slowness is <slowness> and it runs <running>
 
@@ -80,5 +80,5 @@
       | -1,0,8,100 | None     | None    |
       | 3,0,8,0    | None     | 3       |
 
-  Scenario: The standard library's module of the same name is not hidden
+  Scenario: The standard library's module "platform" is not shadowed
     Then "platform" is the standard library's module
--- a/tests/features/steps/membership_steps.py
+++ b/tests/features/steps/membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps about members that ping each other over a fake network."""
+"""Steps that run members which ping each other over a fake network."""
 
 import random
 from zlib import crc32
@@ -16,7 +16,7 @@
 _RANDOM_SEEDS = range(100, 120)
 
 
-def _make(count, seed, loss):
+def _make_joined_mesh(count, seed, loss):
     mesh = Mesh(count, seed, loss)
     mesh.join_all()
     mesh.run(3)
@@ -25,11 +25,11 @@
 
 @given("a mesh of {count:d} members with seed {seed:d} that loses {loss:d} of 100 datagrams")
 def make_mesh(context, count, seed, loss):
-    context.mesh = _make(count, seed, loss / 100)
+    context.mesh = _make_joined_mesh(count, seed, loss / 100)
 
 
 @given("a mesh of {count:d} members with seed {seed:d} and a budget of {rate:d} bytes a second")
-def make_tight_mesh(context, count, seed, rate):
+def make_mesh_with_budget(context, count, seed, rate):
     context.settings = RosterSettings(bytes_per_second=rate, burst_bytes=8_000)
     context.mesh = Mesh(count, seed, settings=context.settings)
     context.mesh.join_all()
@@ -42,12 +42,12 @@
 
 def _run_random_faults(seed):
     rng = random.Random(seed)
-    mesh = _make(12, seed, 0.05)
+    mesh = _make_joined_mesh(12, seed, 0.05)
     for _ in range(12):
         name = f"m{rng.randrange(12)}"
-        rng.choice((_restart, _freeze, _cut, _heal))(mesh, name)
+        rng.choice((_restart, _freeze, _isolate, _restore))(mesh, name)
         mesh.run(rng.uniform(0.5, 15))
-    _heal(mesh, None)
+    _restore(mesh, None)
     return mesh
 
 
@@ -61,11 +61,11 @@
     mesh.freeze(name)
 
 
-def _cut(mesh, name):
+def _isolate(mesh, name):
     mesh.cut(lambda source, target: name not in (source, target))
 
 
-def _heal(mesh, _name):
+def _restore(mesh, _name):
     mesh.cut(lambda source, target: True)
     for member in mesh.members:
         mesh.wake(member)
@@ -89,8 +89,8 @@
     mesh.run(30, until=lambda: MemberState.SUSPECT in mesh.views(name))
 
 
-@when("member {name} wakes")
-def wake(context, name):
+@when("member {name} resumes")
+def resume(context, name):
     context.mesh.wake(name)
 
 
@@ -101,9 +101,9 @@
 
 
 @when("the {count:d} members from m0 on are cut off from the rest for {seconds:d} seconds")
-def part(context, count, seconds):
-    context.part = {f"m{index}" for index in range(count)}
-    context.mesh.cut(lambda one, other: (one in context.part) == (other in context.part))
+def partition(context, count, seconds):
+    context.partition = {f"m{index}" for index in range(count)}
+    context.mesh.cut(lambda one, other: (one in context.partition) == (other in context.partition))
     context.mesh.run(seconds)
 
 
@@ -133,7 +133,7 @@
 
 
 @when("the old process of {name} meets the record of its successor")
-def meet_successor(context, name):
+def receive_successor_record(context, name):
     mesh = context.mesh
     context.old = mesh.members[name]
     mesh.start(name)
@@ -153,7 +153,7 @@
 def leave(context, name):
     mesh = context.mesh
     mesh.deliver(name, mesh.members[name].leave(mesh.now))
-    # It goes on for a while, to finish what is in flight.
+    # The member keeps running for a while to finish what is in flight.
     mesh.run(5)
     mesh.freeze(name)
 
@@ -169,7 +169,7 @@
         mesh.run(0.1)
 
 
-@when("every member publishes {count:d} facts at once")
+@when("every member publishes {count:d} entries at once")
 def publish_many(context, count):
     mesh = context.mesh
     context.before = dict(mesh.sent_bytes)
@@ -181,7 +181,7 @@
 
 
 @when("member {name} is pinged {count:d} times at once")
-def ping_storm(context, name, count):
+def flood_with_pings(context, name, count):
     mesh = context.mesh
     context.before = dict(mesh.sent_bytes)
     context.since = mesh.now
@@ -199,7 +199,7 @@
         suspect = mesh.members["m2"].own._replace(state=MemberState.SUSPECT)
         member._merge_member(suspect, mesh.now, spread=False)
         before = mesh.members["m2"].own.revision
-        # Keep the digests of this ping away from m2's bucket, or the repair would tell it too.
+        # Keep m2's bucket out of this ping's digests, or the repair would send the report as well.
         mesh.members[pinger]._next_bucket = (crc32(b"m/m2") + 1) % BUCKETS
         address = mesh.members[pinger].replica.member(pinged).address
         mesh.members[pinger]._send_ping(address, mesh.now, pinged)
@@ -207,13 +207,13 @@
         context.revisions.append((before, mesh.members["m2"].own.revision))
 
 
-@then("m2 has contradicted each report")
-def check_contradicted(context):
+@then("m2 has refuted each report")
+def check_refuted(context):
     assert all(after == before + 1 for before, after in context.revisions), context.revisions
 
 
-@then("every member holds all {count:d} facts within {seconds:d} seconds")
-def check_facts(context, count, seconds):
+@then("every member holds all {count:d} entries within {seconds:d} seconds")
+def check_entries(context, count, seconds):
     mesh = context.mesh
     mesh.run(seconds, until=lambda: all(len(heard) == count for heard in mesh.heard.values()))
 
@@ -231,35 +231,33 @@
         assert member.replica.entry(topic, key).version == version
 
 
-@then(
-    "some member suspects {name} within {seconds:d} seconds, and none had taken it for dead before"
-)
+@then("some member suspects {name} within {seconds:d} seconds, and none considered it dead before")
 def check_suspected(context, name, seconds):
     mesh = context.mesh
     mesh.run(seconds, until=lambda: MemberState.SUSPECT in mesh.views(name))
     assert MemberState.DEAD not in mesh.views(name)
 
 
-@then("every member takes {name} for dead within {seconds:d} seconds")
+@then("every member considers {name} dead within {seconds:d} seconds")
 def check_dead(context, name, seconds):
     mesh = context.mesh
     mesh.run(seconds, until=lambda: mesh.views(name) == _DEAD)
 
 
-@then("every member holds {name} for alive within {seconds:d} seconds")
+@then("every member considers {name} alive within {seconds:d} seconds")
 def check_alive(context, name, seconds):
     mesh = context.mesh
     mesh.run(seconds, until=lambda: mesh.views(name) == _ALIVE)
 
 
-@then("{name} takes no more than {count:d} members for dead")
-def check_few_dropped(context, name, count):
+@then("{name} considers no more than {count:d} members dead")
+def check_few_dead(context, name, count):
     members = context.mesh.members[name].replica.members()
     dead = [member.node for member in members if member.state == MemberState.DEAD]
     assert len(dead) <= count, dead
 
 
-@then("all members hold each other for alive within {seconds:d} seconds")
+@then("all members consider each other alive within {seconds:d} seconds")
 def check_all_alive(context, seconds):
     mesh = context.mesh
     mesh.run(seconds, until=lambda: _all_alive(mesh))
@@ -269,23 +267,20 @@
     return all(mesh.views(name) == _ALIVE for name in mesh.members)
 
 
-@then("the members of the larger part take the {count:d} members for dead")
-def check_part_dead(context, count):
+@then("the members of the larger partition consider the {count:d} members dead")
+def check_partition_dead(context, count):
     mesh = context.mesh
-    for viewer in set(mesh.members) - context.part:
-        assert all(mesh.state(viewer, name) == MemberState.DEAD for name in context.part)
-    assert len(context.part) == count
+    for viewer in set(mesh.members) - context.partition:
+        assert all(mesh.state(viewer, name) == MemberState.DEAD for name in context.partition)
+    assert len(context.partition) == count
 
 
-@then(
-    "the living members take all frozen ones for dead within {seconds:d} seconds, "
-    "and no living one"
-)
+@then("the live members consider all frozen ones dead within {seconds:d} seconds, and no live one")
 def check_domain_dead(context, seconds):
     mesh = context.mesh
     mesh.run(seconds, until=lambda: all(mesh.views(name) == _DEAD for name in context.frozen))
-    living = set(mesh.members) - set(context.frozen)
-    assert all(MemberState.DEAD not in mesh.views(name) for name in living)
+    live = set(mesh.members) - set(context.frozen)
+    assert all(MemberState.DEAD not in mesh.views(name) for name in live)
 
 
 @then("every member holds the new incarnation of {name} within {seconds:d} seconds")
@@ -328,7 +323,7 @@
     settings = getattr(context, "settings", RosterSettings())
     allowed = settings.burst_bytes + settings.bytes_per_second * (mesh.now - context.since)
     for name in mesh.members:
-        # A replaced process starts with a full bucket of its own.
+        # A replaced process starts with a full token bucket of its own.
         limit = allowed + (settings.burst_bytes if name in _replaced(context) else 0)
         assert mesh.sent_bytes[name] - context.before[name] <= limit
 
--- a/tests/features/steps/platform_formats_steps.py
+++ b/tests/features/steps/platform_formats_steps.py
@@ -1,4 +1,4 @@
-"""Steps that hand the adapter good and bad texts of the platform."""
+"""Steps that parse valid and invalid settings, documents and headers of the platform."""
 
 import json
 import platform
@@ -12,7 +12,7 @@
 from camphorshelf_relay.storeport import StoredRow
 from standins.relays import make_document
 
-_GOOD = """
+_VALID_SETTINGS = """
 self.node=side-a-1
 self.ip=10.1.0.41
 self.zone=a
@@ -32,39 +32,39 @@
 """
 
 
-@given("good settings of the platform")
-def good_settings(context):
-    context.settings = _GOOD
+@given("valid settings of the platform")
+def give_settings(context):
+    context.settings = _VALID_SETTINGS
 
 
-@then("they are read")
-def are_read(context):
+@then("they are parsed")
+def check_parsed(context):
     settings = parse_settings(context.settings)
     assert settings.name == "side-a-1" and settings.addresses.target == ("10.1.0.41", 8628)
     assert settings.addresses.datagrams == ("10.1.0.41", 7600)
 
 
-def _error(text):
+def _read_error(text):
     try:
         parse_settings(text)
     except SettingsError as error:
         return str(error)
-    raise AssertionError("no error")
+    raise AssertionError("the settings were accepted")
 
 
-@then('without "{name}" the error names "{told}"')
-def without(context, name, told):
+@then('without "{name}" the error names "{named}"')
+def check_error_without(context, name, named):
     lines = [line for line in context.settings.splitlines() if not line.startswith(name)]
-    assert told in _error("\n".join(lines))
+    assert named in _read_error("\n".join(lines))
 
 
-@then('with "{line}" the error names "{told}"')
-def with_wrong(context, line, told):
-    assert told in _error(context.settings + line + "\n")
+@then('with "{line}" the error names "{named}"')
+def check_error_with(context, line, named):
+    assert named in _read_error(context.settings + line + "\n")
 
 
-@then('with "{line}" they are read')
-def with_more(context, line):
+@then('with "{line}" they are parsed')
+def check_parsed_with(context, line):
     parse_settings(context.settings + line + "\n")
 
 
@@ -94,61 +94,61 @@
 
 
 @when("the operators' document has {fault}")
-def faulty_document(context, fault):
+def give_invalid_document(context, fault):
     context.document = _FAULTS[fault]().encode()
 
 
-@then("it is refused")
-def refused(context):
+@then("it is rejected")
+def check_rejected(context):
     try:
         read_document(context.document)
     except ProtocolError:
         return
-    raise AssertionError("it was taken")
+    raise AssertionError("the document was accepted")
 
 
-@then('with "{line}" a cold target bears {factor:f} times its rate')
-def bears(context, line, factor):
+@then('with "{line}" a cold target gets {factor:f} times its rate')
+def check_factor(context, line, factor):
     assert parse_settings(context.settings).warm_up.factor == 1.0
     assert parse_settings(context.settings + line + "\n").warm_up.factor == factor
 
 
-@when("the operators' document says that cold targets bear {rate:f} a second for {seconds:f} s")
-def cold_terms(context, rate, seconds):
-    context.cold = rate, seconds
+@when("the operators' document allows cold targets {rate:f} requests a second for {seconds:f} s")
+def give_cold_terms(context, rate, seconds):
+    context.cold_terms = rate, seconds
     document = _document_with(cold_per_s=rate, cold_s=seconds)
     context.routing = read_document(json.dumps(document).encode())
 
 
 @then("the service has that rate and time")
-def has_cold_terms(context):
+def check_cold_terms(context):
     terms = context.routing.services["counter"]
-    assert (terms.cold_rate_per_s, terms.cold_s) == context.cold, terms
+    assert (terms.cold_rate_per_s, terms.cold_s) == context.cold_terms, terms
 
 
-@when('a target\'s health says "{value}" of being cold')
-def cold_header(context, value):
-    context.word = parse_target(200, [(b"cold-ms", value.encode())])
+@when('a target\'s header cold-ms is "{value}"')
+def read_cold_header(context, value):
+    context.metadata = parse_target(200, [(b"cold-ms", value.encode())])
 
 
 @then("it is cold for {seconds} s")
-def is_cold_for(context, seconds):
-    assert str(context.word.cold_left_s) == seconds, context.word
+def check_cold_time(context, seconds):
+    assert str(context.metadata.cold_left_s) == seconds, context.metadata
 
 
 @when('the operators\' rows are "{keys}"')
-def operators_rows(context, keys):
+def read_rows(context, keys):
     rows = [StoredRow(key, b"", number) for number, key in enumerate(keys.split(", "))]
     context.evacuated = read_evacuations(rows)
 
 
 @then('the failure domains "{names}" are evacuated')
-def are_evacuated(context, names):
+def check_evacuated(context, names):
     assert list(context.evacuated) == names.split(", "), context.evacuated
 
 
 @when("the operators' document splits a route {weights}")
-def split(context, weights):
+def split_route(context, weights):
     numbers = [int(part) for part in weights.replace(" and", ",").split(",")]
     parts = [{"service": "counter", "weight": number} for number in numbers]
     document = _route(service=None, split=parts)
@@ -156,34 +156,34 @@
 
 
 @then("the route has {count:d} parts")
-def has_parts(context, count):
+def check_parts(context, count):
     assert len(context.routing.routes[0].weighted_services) == count
 
 
 @then("a refusal {code} that {ran} is answered {status:d}")
-def answered(context, code, ran, status):
+def check_status(context, code, ran, status):
     refusal = Refusal(Code[code], "why", Ran[ran])
     assert build_refusal(refusal, "r1")[0] == status, build_refusal(refusal, "r1")
 
 
 @then('a refusal with {milliseconds:d} ms of Retry-After says "{text}"')
-def says(context, milliseconds, text):
+def check_retry_after(context, milliseconds, text):
     refusal = Refusal(Code.TARGET_BUSY, "why", Ran.NOT_RUN, milliseconds)
     headers = dict(build_refusal(refusal, "r1")[1])
     assert headers[b"retry-after"] == text.encode(), headers
 
 
 @when('a target\'s load header is "{value}"')
-def load_header(context, value):
-    context.word = parse_target(200, [(b"instance-load", value.encode())])
+def read_load_header(context, value):
+    context.metadata = parse_target(200, [(b"instance-load", value.encode())])
 
 
 @then("its slowness is {slowness} and it runs {running}")
-def told(context, slowness, running):
-    assert str(context.word.slowness) == slowness, context.word
-    assert str(context.word.running) == running, context.word
+def check_load(context, slowness, running):
+    assert str(context.metadata.slowness) == slowness, context.metadata
+    assert str(context.metadata.running) == running, context.metadata
 
 
 @then('"platform" is the standard library\'s module')
-def standard_module(context):
+def check_standard_module(context):
     assert platform.python_version().startswith("3.")
--- a/tests/features/steps/platform_steps.py
+++ b/tests/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the client of the platform, run in the test's own process."""
+"""Steps that run the platform's client in the test's process."""
 
 import json
 
@@ -66,7 +66,7 @@
     assert context.written.outcome is WriteOutcome[outcome], context.written
 
 
-@then("the write is LOST and tells the row of version {version:d}")
+@then("the write is LOST and returns the row of version {version:d}")
 def check_lost(context, version):
     assert context.written.outcome is WriteOutcome.LOST, context.written
     assert context.written.row.version == version, context.written
@@ -83,12 +83,12 @@
     assert _read(context, key).unwrap().version == version
 
 
-@then("row {key} is not there")
+@then("row {key} does not exist")
 def check_no_row(context, key):
     assert _read(context, key) == Success(None)
 
 
-@then("row {key} comes to have version {version:d}")
+@then("row {key} eventually has version {version:d}")
 def wait_row(context, key, version):
     context.platform.wait_until(lambda: _read(context, key).unwrap() is not None)
     check_row(context, key, version)
@@ -104,7 +104,7 @@
 
 
 @then("the next write is NOT_APPLIED without reaching the platform")
-def check_left_alone(context):
+def check_not_sent(context):
     context.platform.set_faults()
     before = _count(context, "writes")
     _write(context, "a", None)
@@ -126,28 +126,28 @@
 def check_budget(context):
     outcomes = [written.outcome for written in context.results]
     applied = outcomes.count(WriteOutcome.APPLIED)
-    # The bucket refills while the loop that fills it runs, hence a few more than its burst.
+    # The token bucket refills while the loop runs, so a few more writes than its burst pass.
     assert 200 <= applied <= 210, applied
     assert outcomes.count(WriteOutcome.NOT_APPLIED) == 250 - applied
     assert _count(context, "writes") == applied
 
 
-@when("2 requests wait for a connection, the first is abandoned and the connection is lost")
-def abandon_waiting(context):
+@when("2 requests wait for a connection, the first is cancelled and the connection is lost")
+def cancel_waiting(context):
     address = split_address(context.platform.platform)
     client = HttpClient(context.inner.loop, address, max_connections=1, max_answer_bytes=10_000)
     context.results = []
     context.platform.set_faults(delay_ms=100)
-    hold = client.send(Request("PUT", b"/held", (), b"x"), context.results.append)
-    first = client.send(Request("PUT", b"/first", (), b"x"), context.results.append)
+    cancel_held = client.send(Request("PUT", b"/held", (), b"x"), context.results.append)
+    cancel_first = client.send(Request("PUT", b"/first", (), b"x"), context.results.append)
     client.send(Request("PUT", b"/second", (), b"x"), context.results.append)
-    assert first() is False, "it never had a connection, so it was not sent"
-    hold()
+    assert cancel_first() is False, "a request that never had a connection counted as sent"
+    cancel_held()
     context.inner.run_until(lambda: context.results)
 
 
 @then("only the second of them reaches the server")
-def check_abandoned(context):
+def check_cancelled(context):
     context.platform.set_faults()
     assert [result.status for result in context.results] == [200], context.results
     assert not any(isinstance(result, Failed) for result in context.results)
@@ -170,5 +170,5 @@
     assert context.inner.ask(context.client.get_object, "/config/2") == Success(None)
 
 
-def _count(context, what):
-    return json.loads(call(context.platform.platform, "GET", "platform", "/_counts").body)[what]
+def _count(context, kind):
+    return json.loads(call(context.platform.platform, "GET", "platform", "/_counts").body)[kind]
