--- a/tests/features/finding_hosts.feature
+++ b/tests/features/finding_hosts.feature
@@ -32,10 +32,10 @@
     Given 12 hosts of a system that lost power, with a configuration in the store
     When 0.25 s pass
     Then 3 of them have read the configuration
-    When the others hear nothing, and 0.2 s pass
+    When the others receive nothing, and 0.2 s pass
     Then 12 of them have read the configuration
 
-  Scenario: In a large fleet that starts for the first time few nodes read the rows
+  Scenario: In a large fleet that starts for the first time, few nodes read the rows
     # Guards against calls to the store, which are billed, that grow with the number of nodes
     # because each of them reads.
     Given 120 hosts whose nodes start together for the first time and lose 3 of 100 datagrams
--- a/tests/features/instances.feature
+++ b/tests/features/instances.feature
@@ -34,7 +34,7 @@
     When "i-1" deregisters
     Then requests are sent to "i-2"
 
-  Scenario: Deregistering without an announcement of leaving ends all new requests
+  Scenario: Deregistering without an announcement of leaving stops all new requests
     Given a heartbeat 5 of "i-1" that is ready
     When "i-1" deregisters
     Then no requests are sent
--- a/tests/features/keyed.feature
+++ b/tests/features/keyed.feature
@@ -90,7 +90,7 @@
     Then it is refused with code 241 and NOT_RUN and a time to retry
     And 20 lookups through node a1 are served
     Given the table works again
-    When order k9 is sent until it is taken at node a1
+    When order k9 is sent until it is accepted at node a1
     Then it is answered with status 200
     And order k9 has run 1 time
 
@@ -102,7 +102,7 @@
     When order k10 is sent to node a1 3 times, with other keys in between
     Then none succeeds, and those answered NOT_RUN have not run
     Given the table works again
-    When order k10 is sent until it is taken at node b1
+    When order k10 is sent until it is accepted at node b1
     Then order k10 has run 1 time
 
   @fixture.orders_deployment
@@ -161,7 +161,7 @@
   Scenario: The target's node is killed while the target runs the order
     When order k15 working 500 ms is started at node a1
     And it runs
-    And the node beside the running target is killed
+    And the node of the running target is killed
     And the started order is answered
     Then it is refused as OUTCOME_UNKNOWN with code 305 or 301
     When order k15 working 500 ms is sent to node a1
--- a/tests/features/leaving.feature
+++ b/tests/features/leaving.feature
@@ -38,7 +38,7 @@
     Then a lookup is served by target b1 again
 
   Scenario: A target crashes while it leaves
-    # The order is lost, and the caller is answered that the outcome is unknown. The node notices
+    # The order is lost, and the caller is answered OUTCOME_UNKNOWN. The node notices
     # that the target has ended, and treats the next process as a new one.
     Given a deployment with two targets of counter and one of orders
     And a call of POST /orders?key=k2&work_ms=20000 for orders is in flight through a1
--- a/tests/features/load_probes.feature
+++ b/tests/features/load_probes.feature
@@ -5,7 +5,7 @@
 
   Scenario: Few requests go to a host that is slow when they arrive
     # Guards against choosing a target by outdated load reports.
-    Given 25 hosts of one service that slow down at random, heard once a second
+    Given 25 hosts of one service that slow down at random and report once a second
     When 4000 requests are sent by the last status
     And 4000 requests are sent after probing
     Then more than 7 of 100 went to a slow host by the last status
@@ -13,18 +13,18 @@
 
   Scenario: A burst of choices at the same moment is spread over the hosts
     # Guards against entry nodes that all choose the same two targets.
-    Given 25 hosts of one service, all idle and heard a second ago
+    Given 25 hosts of one service, all idle and last heard a second ago
     When 60 entry nodes each choose hosts to probe
     Then more than 5 hosts are probed
 
   Scenario: Hosts can be ranked for work that takes no time
     # Guards against an error for a route whose objective, and so its first work estimate, is zero.
-    Given 5 hosts of one service, all idle and heard a second ago
+    Given 5 hosts of one service, all idle and last heard a second ago
     When they are ranked for work that takes no time
     Then all 5 are candidates
 
   Scenario: Hosts with a fresh status are not probed
-    Given 5 hosts of one service, all idle and heard just now
+    Given 5 hosts of one service, all idle and last heard just now
     Then no host is probed
 
   Scenario: The choice continues as soon as all hosts have answered
--- a/tests/features/loop.feature
+++ b/tests/features/loop.feature
@@ -29,7 +29,7 @@
     Then the listener pauses
     And accepts the caller when there are file descriptors again
 
-  Scenario: A signal's handler does not touch the timers
+  Scenario: A signal handler does not change the timers
     Given a loop of a node
-    When an interruption comes from a signal's handler
+    When a signal handler schedules a callback
     Then its callback runs in the loop's next iteration
--- a/tests/features/membership.feature
+++ b/tests/features/membership.feature
@@ -3,7 +3,7 @@
   Scenario: A change reaches every member although datagrams are lost
     Given a mesh of 40 members with seed 11 that loses 10 of 100 datagrams
     When member m3 publishes version 5 of config head
-    Then every member has heard version 5 of config head within 7 seconds
+    Then every member has received version 5 of config head within 7 seconds
 
   Scenario: An older version never replaces a newer one
     # Two versions of one key spread at the same time, and some members receive the older one last.
@@ -67,7 +67,7 @@
     # both processes by turns.
     Given a mesh of 20 members with seed 19 that loses 0 of 100 datagrams
     When 60 seconds pass
-    And the old process of m4 meets the record of its successor
+    And the old process of m4 receives the record of its successor
     Then the old process knows that it was superseded
 
   Scenario: A host restarts with a clock that went back
@@ -80,7 +80,7 @@
   Scenario: Members announce that they leave
     Given a mesh of 20 members with seed 21 that loses 0 of 100 datagrams
     When member m4 leaves
-    Then every member has heard that m4 left within 10 seconds
+    Then every member knows that m4 left within 10 seconds
 
   Scenario: The byte budget holds while half of all hosts restart
     # Every restart is a change that every member must receive. Without the budget the bytes would
@@ -115,4 +115,4 @@
 
   Scenario: After random faults all members have the same view
     Given random restarts, freezes, cuts and losses over 20 fixed seeds
-    Then in each the members agree on who is alive once the faults end
+    Then in each run the members agree on who is alive once the faults end
--- a/tests/features/placement.feature
+++ b/tests/features/placement.feature
@@ -35,7 +35,7 @@
     And target "near" in domain "a" with 6 of 7 running and slowness 1.0
     Then the order is "far, near"
 
-  Scenario: Requests sent since the last status count
+  Scenario: Requests sent since the last status are counted
     Given target "one" in domain "b" with 2 of 7 running and slowness 1.0
     And target "two" in domain "b" with 3 of 7 running and slowness 1.0
     And 4 requests were sent to "one" since its last status
--- a/tests/features/platform_formats.feature
+++ b/tests/features/platform_formats.feature
@@ -51,7 +51,7 @@
     Then the route has 2 parts
 
   Scenario Outline: A refusal's status says "not run" only when that is certain
-    Then a refusal <code> that <ran> is answered <status>
+    Then a refusal <code> with <ran> is answered <status>
 
     Examples:
       | code              | ran             | status |
--- a/tests/features/steps/finding_hosts_steps.py
+++ b/tests/features/steps/finding_hosts_steps.py
@@ -111,7 +111,7 @@
 
 @when("{seconds:g} s passes")
 @when("{seconds:g} s pass")
-@when("the others hear nothing, and {seconds:g} s pass")
+@when("the others receive nothing, and {seconds:g} s pass")
 def pass_time(context, seconds):
     context.loop.advance(seconds)
 
--- a/tests/features/steps/keyed_steps.py
+++ b/tests/features/steps/keyed_steps.py
@@ -157,7 +157,7 @@
     context.deployment.signal(process, getattr(signal, name))
 
 
-@when("the node beside the running target is killed")
+@when("the node of the running target is killed")
 def kill_targets_node(context):
     runs = {name: context.deployment.runs(name) for name in TARGETS}
     (name,) = [name for name in TARGETS if runs[name].get(context.started_key)]
@@ -170,7 +170,7 @@
     context.deployment.wait_served(name, "orders")
 
 
-@when("order {key:w} is sent until it is taken at node {node:w}")
+@when("order {key:w} is sent until it is accepted at node {node:w}")
 @when("order {key:w} is sent until it is answered at node {node:w}")
 def send_until_taken(context, key, node):
     context.deployment.wait_until(lambda: send_order(context, key, node).status == 200)
--- a/tests/features/steps/load_probes_steps.py
+++ b/tests/features/steps/load_probes_steps.py
@@ -75,7 +75,7 @@
     return slow_requests / count
 
 
-@given("{count:d} hosts of one service that slow down at random, heard once a second")
+@given("{count:d} hosts of one service that slow down at random and report once a second")
 def give_noisy_hosts(context, count):
     context.make_hosts = lambda: _NoisyHosts(count, seed=1)
 
@@ -100,7 +100,7 @@
     assert context.slow_with_probes < percent / 100, context.slow_with_probes
 
 
-@given("{count:d} hosts of one service, all idle and heard {when}")
+@given("{count:d} hosts of one service, all idle and last heard {when}")
 def give_idle_hosts(context, count, when):
     heard_at = 0.0 if when == "just now" else -1.0
     views = [
--- a/tests/features/steps/loop_steps.py
+++ b/tests/features/steps/loop_steps.py
@@ -151,8 +151,8 @@
     context.accepted[0].close()
 
 
-@when("an interruption comes from a signal's handler")
-def interrupt(context):
+@when("a signal handler schedules a callback")
+def schedule_from_signal(context):
     context.ran = []
 
     def on_signal(_number, _frame):
@@ -166,5 +166,5 @@
 
 
 @then("its callback runs in the loop's next iteration")
-def check_interrupted(context):
+def check_callback_ran(context):
     run_until(context, lambda: context.ran)
--- a/tests/features/steps/membership_steps.py
+++ b/tests/features/steps/membership_steps.py
@@ -132,7 +132,7 @@
     context.mesh.run(seconds)
 
 
-@when("the old process of {name} meets the record of its successor")
+@when("the old process of {name} receives the record of its successor")
 def receive_successor_record(context, name):
     mesh = context.mesh
     context.old = mesh.members[name]
@@ -218,7 +218,7 @@
     mesh.run(seconds, until=lambda: all(len(heard) == count for heard in mesh.heard.values()))
 
 
-@then("every member has heard version {version:d} of {topic} {key} within {seconds:d} seconds")
+@then("every member has received version {version:d} of {topic} {key} within {seconds:d} seconds")
 def check_heard(context, version, topic, key, seconds):
     mesh = context.mesh
     mesh.run(seconds, until=lambda: all((topic, key) in heard for heard in mesh.heard.values()))
@@ -310,7 +310,7 @@
     assert context.old.superseded
 
 
-@then("every member has heard that {name} left within {seconds:d} seconds")
+@then("every member knows that {name} left within {seconds:d} seconds")
 def check_left(context, name, seconds):
     mesh = context.mesh
     mesh.run(seconds, until=lambda: mesh.views(name) == {MemberState.LEFT})
@@ -332,7 +332,7 @@
     return {name for name, member in context.mesh.members.items() if member.own.generation > 40}
 
 
-@then("in each the members agree on who is alive once the faults end")
+@then("in each run the members agree on who is alive once the faults end")
 def check_agreement(context):
     for seed, mesh in zip(_RANDOM_SEEDS, context.meshes, strict=True):
         try:
--- a/tests/features/steps/placement_steps.py
+++ b/tests/features/steps/placement_steps.py
@@ -8,9 +8,7 @@
 _NOW = 100.0
 
 
-@given(
-    'work of {work:d} ms with an objective of {objective:d} ms, requested in domain "{domain}"'
-)
+@given('work of {work:d} ms with an objective of {objective:d} ms, requested in domain "{domain}"')
 def give_work(context, work, objective, domain):
     context.work_s = work / 1000
     context.objective_s = objective / 1000
--- a/tests/features/steps/platform_formats_steps.py
+++ b/tests/features/steps/platform_formats_steps.py
@@ -160,7 +160,7 @@
     assert len(context.routing.routes[0].weighted_services) == count
 
 
-@then("a refusal {code} that {ran} is answered {status:d}")
+@then("a refusal {code} with {ran} is answered {status:d}")
 def check_status(context, code, ran, status):
     refusal = Refusal(Code[code], "why", Ran[ran])
     assert build_refusal(refusal, "r1")[0] == status, build_refusal(refusal, "r1")
