--- a/tests/features/steps/keyed_steps.py
+++ b/tests/features/steps/keyed_steps.py
@@ -286,4 +286,4 @@
     assert context.first.headers.get("camphorshelf-ran"), context.first
     answered_not_run = context.first.headers["camphorshelf-ran"] == "NOT_RUN"
     assert not (answered_not_run and count_runs(context, key)), (context.first, context.answer)
-    assert count_runs(context, key) == 1, "the claim was read back and run for the resend"
+    assert count_runs(context, key) == 1, "the order did not run exactly once for the retry"
