--- a/tests/features/retired_words.feature
+++ b/tests/features/retired_words.feature
@@ -1,7 +1,7 @@
 Feature: Words that the glossary has retired do not return to the sources
 
   Scenario Outline: A retired word is found in any of its forms
-    # Guards against two names for one thing.
+    # Guards against two terms for the same thing.
     Given a source line "<line>" in "packages/core/code.py"
     When the sources are searched for the retired word "second try" with the term "hedge"
     Then the use is reported as "packages/core/code.py:1: 'second try' is retired, use 'hedge'"
@@ -13,7 +13,7 @@
       | class SecondTry:       |
       | import secondtry       |
 
-  Scenario Outline: Other words are not taken for a retired one
+  Scenario Outline: Other words are not reported
     Given a source line "<line>" in "<file>"
     When the sources but "platform" are searched for "goal" with the term "latency objective"
     Then no use is reported
--- a/tests/features/retry_budget.feature
+++ b/tests/features/retry_budget.feature
@@ -1,11 +1,11 @@
-Feature: Retries of all nodes together stay within what operators allow
+Feature: Retries of all nodes together stay within the configured limits
 
-  Each node spends its part of the allowance without talk. The runs that are repeated make their
-  own calls again, and those count as repeats at the service that is called: one level of calls
-  doubles what a retry costs.
+  Each node spends its part of the budget without coordination. A request that runs again repeats
+  its own calls, and those count as retries at the called service: one level of calls doubles the
+  cost of a retry.
 
-  Scenario Outline: A service that sheds most of its load is not sent twice as much
-    # Guards against retries that double the load of a service that sheds most of it.
+  Scenario Outline: Retries do not double the load of a service that sheds most of it
+    # Guards against retries that add load when capacity is lowest.
     Given <nodes> nodes that each take <rate> requests a second for 40 s
     When every request asks for a retry
     Then twice the retries of any 10 s stay within 0.2 of the requests and 60 more
@@ -18,20 +18,20 @@
       | 77    | 5    |
       | 300   | 1    |
 
-  Scenario: A single failure after a quiet time is retried
+  Scenario: A single failure after a period of low load is retried
     Given 12 nodes that each take 1 requests a second for 40 s
     When one request asks for a retry after 10 s
     Then it is granted
 
-  Scenario: Retries that were not used do not pile up for a storm
+  Scenario: Unused retries do not accumulate for a later burst
     Given 12 nodes that each take 50 requests a second for 40 s
     When every request asks for a retry after 30 s
     Then twice the retries of any 10 s stay within 0.2 of the requests and 60 more
 
-  Scenario Outline: Lookups that fail for their calls are not run again without end
-    # Guards against reruns whose repeated calls break the retry allowance of the called service.
+  Scenario Outline: Reruns of lookups whose own calls fail are limited
+    # Guards against reruns whose repeated calls exceed the retry limits of the called service.
     Given <nodes> nodes that each take <rate> requests a second for 40 s
-    When every request asks for a rerun, which makes 2 calls where the mean is 1.0
+    When every request asks for a rerun of 2 calls, where requests make 1.0 on average
     And every call asks for a retry
     Then the repeats of any 10 s stay within 0.2 of the calls and 60 more
 
@@ -41,7 +41,7 @@
       | 12    | 25   |
       | 79    | 4    |
 
-  Scenario: A request that was turned away unrun takes nothing from those that ran
+  Scenario: Requests refused before they ran are not limited to the share for reruns
     Given 12 nodes that each take 20 requests a second for 40 s
     When every request asks for a retry
-    Then at least 0.07 of the requests are granted one
+    Then at least 0.07 of the requests are granted a retry
--- a/tests/features/routes.feature
+++ b/tests/features/routes.feature
@@ -1,6 +1,6 @@
-Feature: Which route a request takes, and which part of it
+Feature: The route of a request, and the service that is chosen by weight
 
-  Scenario Outline: The longest prefix of the path decides
+  Scenario Outline: The longest matching prefix of the path decides
     Given routes "/", "/a/", "/a/b/" and "/ab/" of host "h.example"
     Then a request for "<host>" and "<path>" takes "<route>"
 
@@ -15,12 +15,13 @@
       | h.example | /ab/c   | /ab/  |
       | other     | /a/b/c  | none  |
 
-  Scenario Outline: Parts get their weights, exactly, at every node
-    # A part of one in ten that got two in ten for a minute would be a release going wrong.
-    Given a route whose parts weigh <weights>
-    When 50 nodes each choose a part for 20 requests
-    Then each part has its share of all within 2 in 100
-    And no node gives a part more than 1 request beyond its share
+  Scenario Outline: Services get their exact shares at every node
+    # Guards against a release that gets two requests in ten for a minute where its weight is one in
+    # ten.
+    Given a route whose services have weights <weights>
+    When 50 nodes each choose a service for 20 requests
+    Then each service gets its share of all requests within 2 in 100
+    And no node gives a service more than 1 request beyond its share
 
     Examples:
       | weights    |
@@ -29,9 +30,9 @@
       | 70, 20, 10 |
       | 1, 99      |
 
-  Scenario: Changed weights are in force with the next request
-    Given a route whose parts weigh 90, 10
-    When 1 nodes each choose a part for 20 requests
+  Scenario: Changed weights take effect with the next request
+    Given a route whose services have weights 90, 10
+    When 1 nodes each choose a service for 20 requests
     And the weights become 10, 90
-    And 1 nodes each choose a part for 100 requests
-    Then each part has its share of all within 2 in 100
+    And 1 nodes each choose a service for 100 requests
+    Then each service gets its share of all requests within 2 in 100
--- a/tests/features/settings.feature
+++ b/tests/features/settings.feature
@@ -1,12 +1,12 @@
-Feature: Settings are checked field by field before anything runs
+Feature: Settings are validated field by field before a program starts
 
-  Scenario: The commented examples are good
+  Scenario: The commented examples are valid
     Then camphorshelf check accepts every file in examples
 
-  Scenario: Every bad field is named with what was seen and what is allowed
-    When each bad settings file is checked
+  Scenario: Every invalid field is reported with the value seen and the values allowed
+    When each invalid settings file is checked
     Then each check exits 2 and names the file, the field and the value
 
-  Scenario: A node refuses bad settings in the same words
+  Scenario: A node reports invalid settings with the same message
     When camphorshelf-node is started with an unknown field in its settings
-    Then it ends with status 2 and says "limits.head_byte: is no field; saw 5"
+    Then it exits with status 2 and prints "limits.head_byte: is no field; saw 5"
--- a/tests/features/statuses.feature
+++ b/tests/features/statuses.feature
@@ -1,35 +1,36 @@
-Feature: What hosts tell each other of themselves
+Feature: Status messages between hosts
 
-  Scenario: The short form says what changes often, in a quarter of the bytes
-    Given the whole status of a host was heard
-    When it sends the short form of a status with 5 running and slowness 4.0
-    Then 5 running and slowness 4.0 are held of it, and its names as before
-    And the short form is at most 45 bytes and a quarter of the whole one
+  Scenario: A short status carries what changes often, in a quarter of the bytes
+    Given the full status of a host was received
+    When it sends a short status with 5 running and slowness 4.0
+    Then its status has 5 running, slowness 4.0 and the same names as before
+    And the short status has at most 45 bytes and a quarter of those of the full one
 
-  Scenario: A short form of a process that nobody has heard is not used
-    # The process before had the same names; what is said of the new one must not be put to them.
-    Given the whole status of a host was heard
-    When its next process sends the short form first
-    Then nothing of it is held
+  Scenario: A short status of an unknown process is not used
+    # The previous process had the same names; the status of the new process must not be combined
+    # with them.
+    Given the full status of a host was received
+    When its next process sends a short status first
+    Then no status is taken from it
 
-  Scenario: A status that was overtaken changes nothing
-    Given the whole status of a host was heard
+  Scenario: A status that arrives after a later one is ignored
+    Given the full status of a host was received
     When a later one and then an earlier one arrive
-    Then the later one is held
+    Then the later one is stored
 
-  Scenario: A late status of the process before does not bring it back
-    Given the whole status of a host was heard
-    When its next process is heard and then a late status of the one before
-    Then the next process is held
+  Scenario: A late status of the previous process does not replace the new one
+    Given the full status of a host was received
+    When the status of its next process is received, and then a late one of the previous process
+    Then the status of the next process is stored
 
-  Scenario: Incarnations of one address grow, and no two of them are the same
-    # Guards against a restarted host that is taken for older than the process before it.
-    Then an incarnation is greater than one that was drawn a microsecond earlier
-    And one that outbids another is greater, and two that outbid the same one differ
+  Scenario: Incarnations of one address increase and are unique
+    # Guards against a restarted host that is taken to be older than its previous process.
+    Then an incarnation is greater than one that was made a microsecond earlier
+    And one made newer than another is greater, and two made newer than the same one differ
 
-  Scenario Outline: Bytes that are no status harm nobody
+  Scenario Outline: Datagrams that are not a status are ignored
     When a datagram of <bytes> arrives
-    Then nothing of it is held
+    Then no status is taken from it
 
     Examples:
       | bytes              |
@@ -41,10 +42,10 @@
       | a bad address      |
       | bad crash counts   |
 
-  Scenario Outline: A host that repeats its status is heard between two repeats
-    # Guards against a host that is well being chosen last between two of its repeats.
-    Given <hosts> others are told
-    Then a host that repeats its status is not silent until the next one but one
+  Scenario Outline: A host that pushes its status is not silent between two pushes
+    # Guards against a healthy host that is ranked last between two of its pushes.
+    Given a status is pushed to <hosts> others
+    Then a host is not silent until the second push after its last one
 
     Examples:
       | hosts |
@@ -53,20 +54,20 @@
       | 78    |
       | 300   |
 
-  Scenario: A short form of other names than those known is not used
-    # Guards against a new target being sent work under the instance of the one before.
-    Given the whole status of a host was heard
-    When another revision of its names is told in the short form
-    Then the whole form has to be asked for
+  Scenario: A short status that refers to unknown names is not used
+    # Guards against requests to a new target with the instance of the previous one.
+    Given the full status of a host was received
+    When a short status refers to another revision of its names
+    Then the full status has to be requested
 
-  Scenario Outline: Each message is read as it was written
-    Then a <kind> is read as it was written
+  Scenario Outline: Each message is decoded as it was encoded
+    Then the message "<kind>" is decoded as it was encoded
 
     Examples:
       | kind              |
-      | probe             |
+      | status request    |
       | greeting          |
-      | news              |
+      | member updates    |
       | probe request     |
       | addresses request |
       | addresses         |
--- a/tests/features/steps/quarantine_steps.py
+++ b/tests/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps about requests that crash targets: by themselves, and with real processes."""
+"""Steps about the quarantine of requests that crash targets, simulated and with real processes."""
 
 import threading
 import time
@@ -16,8 +16,8 @@
 
 _NAMES = ("r1", "r2", "r3")
 _POISON_PATH = "/rolls/13?fail=crash&work_ms=50"
-_TRIES = 60
-_LET_IN_SECONDS = 10.0
+_MAX_POISON_REQUESTS = 60
+_ADMISSION_TIMEOUT_SECONDS = 10.0
 
 
 def innocent(count):
@@ -30,35 +30,35 @@
 
 
 @given("poison is refused at all nodes")
-def convict(context):
+def refuse_poison(context):
     context.nodes.crash("n1", [POISON])
     context.nodes.crash("n2", [POISON])
     assert context.nodes.standings(POISON) == {Standing.REFUSED}
 
 
-@given("a lane for suspects")
-def lane(context):
-    context.lane = SuspectLimiter()
+@given("a limiter for suspects")
+def make_limiter(context):
+    context.limiter = SuspectLimiter()
 
 
-@when("the target of {node} dies under poison and {count:d} innocent requests")
+@when("the target of {node} crashes under poison and {count:d} innocent requests")
 def crash(context, node, count):
     context.nodes.crash(node, [POISON, *innocent(count)])
 
 
-@when("the {count:d} innocent requests run to their answers at {node}")
-def run_clean(context, count, node):
+@when("the {count:d} innocent requests complete at {node}")
+def complete_innocent(context, count, node):
     for request in innocent(count):
         context.nodes.clean(node, request)
 
 
-@when("the target of {node} dies under {count:d} other requests one after the other")
-def flood(context, node, count):
+@when("the target of {node} crashes under {count:d} other requests one after the other")
+def crash_under_others(context, node, count):
     for number in range(count):
         context.nodes.crash(node, [f"other-{number}"])
 
 
-@when("an operator lifts it at {node}")
+@when("an operator lifts the quarantine at {node}")
 def lift(context, node):
     context.nodes.lift(node, POISON)
 
@@ -72,35 +72,35 @@
 @when(
     "{count:d} random histories of crashes, clearings and lifts reach three nodes in random orders"
 )
-def news(context, count):
+def deliver_histories(context, count):
     context.standings = [play_news(seed) for seed in range(count)]
 
 
-@when("the poison is sent among innocent requests over {count:d} fixed seeds")
-def play(context, count):
-    context.plays = [play_poison(seed) for seed in range(count)]
+@when("poison is sent among innocent requests with {count:d} fixed seeds")
+def simulate_poison(context, count):
+    context.simulations = [play_poison(seed) for seed in range(count)]
 
 
-@when("besides, one run in 100 ends with the chance death of its target")
-def play_chance(context):
-    context.plays = [play_poison(seed, 0.01) for seed in range(len(context.plays))]
+@when("in addition one run in 100 ends with a random crash of its target")
+def simulate_random_crashes(context):
+    context.simulations = [play_poison(seed, 0.01) for seed in range(len(context.simulations))]
 
 
-@when("suspects s1, s2 and s3 come")
+@when("suspects s1, s2 and s3 arrive")
 def suspects_come(context):
-    context.running = [name for name in ("s1", "s2", "s3") if context.lane.acquire(name)]
+    context.running = [name for name in ("s1", "s2", "s3") if context.limiter.acquire(name)]
 
 
-@when("s2 is given up and s1 ends")
+@when("s2 is cancelled and s1 completes")
 def suspects_end(context):
-    context.lane.release("s2")
-    context.running = [context.lane.release("s1")]
+    context.limiter.release("s2")
+    context.running = [context.limiter.release("s1")]
 
 
-@then("{name} runs alone")
-def check_lane(context, name):
+@then("only {name} runs")
+def check_running_suspect(context, name):
     assert context.running == [name], context.running
-    assert context.lane.running == name
+    assert context.limiter.running == name
 
 
 @then("poison and the {count:d} innocent requests are suspects at all nodes")
@@ -133,27 +133,27 @@
     assert len(quarantine) <= count
 
 
-@then("in each the nodes hold the same standings")
+@then("after each history all nodes hold the same standings")
 def check_same(context):
     assert all(len(set(standings)) == 1 for standings in context.standings)
     assert len({standings[0] for standings in context.standings}) == 3
 
 
-@then("in each the poison is refused after {count:d} crashes of its own")
-def check_plays(context, count):
-    assert all(crashes == count for crashes, _, _ in context.plays), context.plays
-    assert all(standings == {Standing.REFUSED} for _, _, standings in context.plays)
+@then("with each seed poison is refused after it has caused {count:d} crashes")
+def check_poison_refused(context, count):
+    assert all(crashes == count for crashes, _, _ in context.simulations), context.simulations
+    assert all(standings == {Standing.REFUSED} for _, _, standings in context.simulations)
 
 
-@then("no innocent request is refused in any")
+@then("no innocent request is refused with any seed")
 def check_innocent(context):
-    assert all(refused <= {POISON} for _, refused, _ in context.plays), context.plays
+    assert all(refused <= {POISON} for _, refused, _ in context.simulations), context.simulations
 
 
-@then("at most {count:d} in 10000 innocent requests is refused in all")
+@then("at most {count:d} in 10000 innocent requests is refused over all seeds")
 def check_few_innocent(context, count):
-    refused = sum(len(refused - {POISON}) for _, refused, _ in context.plays)
-    assert refused * 10_000 <= count * len(context.plays) * INNOCENT_PER_PLAY, refused
+    refused = sum(len(refused - {POISON}) for _, refused, _ in context.simulations)
+    assert refused * 10_000 <= count * len(context.simulations) * INNOCENT_PER_PLAY, refused
 
 
 @fixture
@@ -175,9 +175,9 @@
     return call(context.deployment.nodes[name].callers, "GET", "rollyard", path, headers)
 
 
-def lookup_until_let_in(context, name, path):
-    """Send a lookup, and again as long as its refusal says when to come back."""
-    end = time.monotonic() + _LET_IN_SECONDS
+def lookup_until_admitted(context, name, path):
+    """Send a lookup, and retry it as long as its refusal names a retry delay."""
+    end = time.monotonic() + _ADMISSION_TIMEOUT_SECONDS
     while True:
         answer = lookup(context, name, path)
         wait_ms = answer.headers.get("retry-after-ms")
@@ -186,18 +186,18 @@
         time.sleep(int(wait_ms) / 1000)
 
 
-def seen_at(context, name):
+def count_seen(context, name):
     return int(call(context.deployment.nodes[name].target, "GET", "target", "/_seen").body)
 
 
 @given("{count:d} innocent slow lookups are in flight at each target")
 def start_innocent(context, count):
-    before = {name: seen_at(context, name) for name in _NAMES}
+    before = {name: count_seen(context, name) for name in _NAMES}
     context.innocent = [f"/rolls/{number}?work_ms=1500" for number in range(count * len(_NAMES))]
     context.first_answers = {}
 
     def run(number, path):
-        answer = lookup_until_let_in(context, _NAMES[number % len(_NAMES)], path)
+        answer = lookup_until_admitted(context, _NAMES[number % len(_NAMES)], path)
         context.first_answers[path] = answer
 
     context.threads = [
@@ -207,23 +207,25 @@
         thread.start()
 
     def seen():
-        return {name: seen_at(context, name) - before[name] for name in _NAMES}
+        return {name: count_seen(context, name) - before[name] for name in _NAMES}
 
     try:
         context.deployment.wait_until(lambda: sum(seen().values()) >= len(context.innocent))
     except TimeoutError as error:
-        # One that was answered without having reached a target tells why.
-        raise AssertionError(f"{seen()} reached a target; {context.first_answers}") from error
+        # The response to a lookup that reached no target gives the reason.
+        raise AssertionError(
+            f"{seen()} lookups reached a target; answers: {context.first_answers}"
+        ) from error
 
 
-@when("a lookup that crashes its target is sent again and again through all nodes")
+@when("a lookup that crashes its target is sent repeatedly through all nodes")
 def send_poison(context):
-    for number in range(_TRIES):
+    for number in range(_MAX_POISON_REQUESTS):
         answer = lookup(context, _NAMES[number % len(_NAMES)], _POISON_PATH)
         assert answer.status != 200, answer
         if answer.headers.get("camphorshelf-code") == "210":
             return
-    raise AssertionError(f"never refused in {_TRIES} tries: {answer}")
+    raise AssertionError(f"not refused with code 210 in {_MAX_POISON_REQUESTS} requests: {answer}")
 
 
 @then("it is refused with code 210 at every node")
@@ -235,23 +237,23 @@
     context.deployment.wait_until(is_refused)
 
 
-def ended(context):
+def crashed_targets(context):
     return [name for name in _NAMES if context.deployment.has_ended(f"target-{name}")]
 
 
 @then("{count:d} targets have crashed")
 def check_crashes(context, count):
-    assert len(ended(context)) == count, ended(context)
+    assert len(crashed_targets(context)) == count, crashed_targets(context)
 
 
 @when("the crashed targets are started again and the innocent callers send again")
 def start_crashed(context):
     for thread in context.threads:
         thread.join()
-    for name in ended(context):
+    for name in crashed_targets(context):
         context.deployment.start_target(name)
     context.lost = [path for path in context.innocent if context.first_answers[path].status != 200]
-    assert context.lost, "no innocent lookup was beside the crash"
+    assert context.lost, "no innocent lookup was in flight at a target that crashed"
 
 
 def wait_answered(context, path):
@@ -271,16 +273,16 @@
     for thread in threads:
         thread.join()
     assert sorted(context.answered) == sorted(context.lost), context.answered
-    assert ended(context) == []
+    assert crashed_targets(context) == []
 
 
-@when("a lookup whose answer is cut short is sent 5 times")
-def send_cut(context):
+@when("a lookup whose response is cut short is sent 5 times")
+def send_cut_short(context):
     context.answers = [lookup(context, "r1", "/rolls/1?fail=hang-up") for _ in range(5)]
 
 
 @then("each is refused with code {code:d}")
-def check_cut(context, code):
+def check_refused(context, code):
     codes = [answer.headers.get("camphorshelf-code") for answer in context.answers]
     assert codes == [str(code)] * 5, context.answers
 
@@ -290,45 +292,45 @@
     assert lookup(context, "r1", "/rolls/2").status == 200
 
 
-class _Blame:
-    """Marks a blamed request as the quarantine controller does."""
+class _FakeQuarantineController:
+    """Fake quarantine controller that adds the evidence to a blamed request."""
 
     def __init__(self, is_refused):
         self._is_refused = is_refused
 
     def note_blamed(self, exchange, target):
-        """Put the target's name into the request's evidence."""
+        """Add the name of the crashed target to the request's evidence."""
         request = exchange.request
         headers = (*request.headers, (SUSPECT_HEADER, target.encode()))
         exchange.request = request._replace(headers=headers)
         return self._is_refused
 
 
-@given("a lookup under which each target dies, blamed with standing {standing}")
-def prepare_deadly_lookup(context, standing):
+@given("a lookup that crashes each target, blamed with standing {standing}")
+def prepare_crashing_lookup(context, standing):
     context.simulation = Simulation(targets=3, entries=1)
-    context.simulation.entries[0].quarantine = _Blame(standing == "convicted")
-    context.asked = []
-    died = Refusal(Code.TARGET_CRASHED, "the target died", Ran.OUTCOME_UNKNOWN)
+    context.simulation.entries[0].quarantine = _FakeQuarantineController(standing == "convicted")
+    context.attempts = []
+    refusal = Refusal(Code.TARGET_CRASHED, "the target crashed", Ran.OUTCOME_UNKNOWN)
 
-    def die(message, on_done):
-        context.asked.append(message)
-        context.simulation.loop.call_later(0.001, lambda: on_done(died))
+    def crash_target(message, on_done):
+        context.attempts.append(message)
+        context.simulation.loop.call_later(0.001, lambda: on_done(refusal))
         return lambda: None
 
     for target in context.simulation.targets:
-        target.call = die
+        target.call = crash_target
 
 
 @when("an entry node sends it")
-def send_deadly_lookup(context):
+def send_crashing_lookup(context):
     context.simulation.call(0.0, 10, entry=0)
     context.simulation.loop.run()
 
 
-@then("{count:d} targets were asked, and each after the first was told of the one before")
+@then("the lookup reached {count:d} targets, and each attempt named the target that crashed before")
 def check_evidence(context, count):
-    assert len(context.asked) == count, context.asked
-    told = [dict(message.headers).get(SUSPECT_HEADER) for message in context.asked]
-    before = [None, *(message.target.encode() for message in context.asked)]
-    assert told == before[:count], told
+    assert len(context.attempts) == count, context.attempts
+    evidence = [dict(message.headers).get(SUSPECT_HEADER) for message in context.attempts]
+    before = [None, *(message.target.encode() for message in context.attempts)]
+    assert evidence == before[:count], evidence
--- a/tests/features/steps/relay_steps.py
+++ b/tests/features/steps/relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play callers, operators and faults against nodes on the users' platform."""
+"""Steps that simulate callers, operators and faults for nodes on the users' platform."""
 
 import signal
 import threading
@@ -10,7 +10,7 @@
 from standins.relays import make_document
 
 _SERVICES = {"a": "counter", "b": "counter", "c": "orders"}
-_MALFORMED = (
+_MALFORMED_REQUESTS = (
     b"GET /look/bad HTTP/1.1\r\n\r\n",
     b"GET /look/bad HTTP/1.1\r\nHost: shop.example\r\nHost: other.example\r\n\r\n",
     b"POST /look/bad HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 3\r\n"
@@ -25,7 +25,7 @@
     b"GET /look/bad HTTP/1.1\r\nHost: shop.example\r\nX: " + b"x" * 20_000 + b"\r\n\r\n",
     b"\x16\x03\x01 not HTTP at all\r\n\r\n",
 )
-_BAD_BEATS = (
+_MALFORMED_HEARTBEATS = (
     b"not json",
     b"[]",
     b'{"service":"counter"}',
@@ -36,8 +36,8 @@
 )
 
 
-class Flow:
-    """Callers that send one request after the other until they are stopped."""
+class ContinuousCallers:
+    """Callers that send requests continuously, three threads at each node, until stopped."""
 
     def __init__(self, deployment, names, path):
         self.answers = []
@@ -51,7 +51,7 @@
             thread.start()
 
     def stop(self):
-        """Stop and wait for the last answers."""
+        """Stop sending and wait for the outstanding responses."""
         self._stop.set()
         for thread in self._threads:
             thread.join(10)
@@ -122,7 +122,7 @@
 
 
 @then("it is answered {status:d} without Retry-After")
-def answered_without_return(context, status):
+def answered_without_retry_after(context, status):
     assert context.answer.status == status, context.answer
     assert "retry-after" not in context.answer.headers, context.answer
 
@@ -132,8 +132,8 @@
     assert context.relays.all_runs()[context.request_id] == 1
 
 
-@when('the target breaks off while it runs "{line}" of a caller at "{name}"')
-def broken_off(context, name, line):
+@when('the target closes the connection while it runs "{line}" of a caller at "{name}"')
+def connection_closed(context, name, line):
     _send(context, name, line)
 
 
@@ -143,7 +143,7 @@
 
 
 @when('the "{line}" of a caller at "{name}" is followed by 10 others')
-def with_extra(context, name, line):
+def sends_followed_by_others(context, name, line):
     caller = context.relays.connect(name)
     context.pairs = []
     for number in range(11):
@@ -154,7 +154,7 @@
     caller.close()
 
 
-@then("each gets the answer to its own request")
+@then("each gets the response to its own request")
 def own_answers(context):
     (_, first), *others = context.pairs
     assert first.body == b"own\n", first
@@ -173,8 +173,8 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n"
 
 
-@when('a caller at "{name}" sends "{lines}" ahead')
-def sends_ahead(context, name, lines):
+@when('a caller at "{name}" pipelines "{lines}"')
+def sends_pipelined(context, name, lines):
     caller = context.relays.connect(name)
     requests = [_render(line, context.relays.next_id()) for line in lines.split(", ")]
     caller.send(b"".join(requests))
@@ -182,14 +182,14 @@
     caller.close()
 
 
-@then('it gets the answers to "{paths}" in this order')
+@then('it gets the responses to "{paths}" in this order')
 def answers_in_order(context, paths):
     for path, answer in zip(paths.split(", "), context.answers, strict=True):
         assert answer.status == 200 and path.encode() in answer.body, (path, answer)
 
 
-@when('after {seconds:f} s a caller at "{name}" leaves its "{line}"')
-def sends_and_leaves(context, name, line, seconds):
+@when('a caller at "{name}" disconnects {seconds:f} s after it sent "{line}"')
+def sends_and_disconnects(context, name, line, seconds):
     caller = context.relays.connect(name)
     context.request_id = context.relays.next_id()
     caller.send(_render(line, context.request_id))
@@ -197,13 +197,13 @@
     caller.close()
 
 
-@then("the target drops the work within {seconds:f} s")
-def work_dropped(context, seconds):
-    def dropped():
+@then("the target cancels the request within {seconds:f} s")
+def request_cancelled(context, seconds):
+    def is_cancelled():
         runs = [one for name in ("a", "b") for one in context.relays.runs(name)]
         return any(one["request-id"] == context.request_id and one.get("cancelled") for one in runs)
 
-    context.relays.wait_until(dropped, seconds + 1.0)
+    context.relays.wait_until(is_cancelled, seconds + 1.0)
 
 
 @then("it is answered {status:d} after {least:f} to {most:f} s")
@@ -258,17 +258,17 @@
     assert sum(answer.status == 200 for _, answer in context.answers) >= 14
 
 
-@then("no refused one ran")
-def refused_did_not_run(context):
+@then("no refused request ran")
+def refused_not_run(context):
     runs = context.relays.all_runs()
     refused = [one for one, answer in context.answers if answer.status == 503]
     assert not any(runs[one] for one in refused), refused
 
 
-@when('"{name}" is sent the malformed requests of the list')
-def malformed(context, name):
+@when('malformed requests are sent to "{name}"')
+def send_malformed_requests(context, name):
     context.outcomes = []
-    for data in _MALFORMED:
+    for data in _MALFORMED_REQUESTS:
         caller = Caller(context.relays.address("callers", name))
         caller.send(data)
         try:
@@ -283,22 +283,22 @@
 def refused_or_closed(context):
     for data, status, ended in context.outcomes:
         assert status is None or 400 <= status < 500, (data, status)
-        # Bytes behind the refusal would be an answer to a request that nobody sent.
+        # Bytes after the refusal would be a response to a request that nobody sent.
         assert ended, (data, status)
 
 
-@then("nothing of them reached a target")
+@then("none of them reached a target")
 def nothing_reached(context):
     runs = [one for name in context.relays.names for one in context.relays.runs(name)]
     assert not any("/look/bad" in one["path"] for one in runs), runs
 
 
-@when('"{name}" gets heartbeats with wrong fields')
-def bad_beats(context, name):
+@when('"{name}" gets malformed heartbeats')
+def send_malformed_heartbeats(context, name):
     address = context.relays.address("heartbeats", name)
     context.statuses = [
         call(address, "PUT", "node", "/api/instances/i-odd", body=body).status
-        for body in _BAD_BEATS
+        for body in _MALFORMED_HEARTBEATS
     ]
 
 
@@ -312,7 +312,7 @@
     assert context.relays.send(name, *_split(line)).status == 200
 
 
-def _goes_to(context, name, prefix, service):
+def _is_routed_to(context, name, prefix, service):
     try:
         answer = context.relays.send(name, "GET", f"{prefix}x")
     except (OSError, EOFError):
@@ -321,7 +321,7 @@
 
 
 @when('version {version:d} moves "{prefix}" to "{service}"')
-def move(context, version, prefix, service):
+def move_route(context, version, prefix, service):
     routes = {
         prefix: {"service": service, "kind": "idempotent"},
         "/order/": {"service": "orders", "kind": "non_idempotent"},
@@ -329,7 +329,7 @@
     context.relays.configure(make_document(version, routes))
 
 
-@when("version {version:d} of before is written")
+@when("the older version {version:d} is written")
 def old_version(context, version):
     context.relays.configure(make_document(version))
 
@@ -339,14 +339,14 @@
 def every_node_sends(context, seconds, prefix, service):
     names = context.relays.names
     context.relays.wait_until(
-        lambda: all(_goes_to(context, name, prefix, service) for name in names), seconds
+        lambda: all(_is_routed_to(context, name, prefix, service) for name in names), seconds
     )
 
 
 @then('after {seconds:d} s every node still sends "{prefix}" to "{service}"')
 def still_sends(context, seconds, prefix, service):
     time.sleep(seconds)
-    assert all(_goes_to(context, name, prefix, service) for name in context.relays.names)
+    assert all(_is_routed_to(context, name, prefix, service) for name in context.relays.names)
 
 
 @then('after {seconds:d} s "{prefix}" still goes to "{service}"')
@@ -354,8 +354,8 @@
     still_sends(context, seconds, prefix, service)
 
 
-@given('the store turns "{name}" away')
-def turned_away(context, name):
+@given('the store refuses the requests of "{name}"')
+def store_refuses(context, name):
     context.relays.set_faults(down=[context.relays.ip(name)])
 
 
@@ -364,8 +364,8 @@
     context.relays.evacuate(domain)
 
 
-@when('the evacuation of "{domain}" is taken back')
-def take_back(context, domain):
+@when('the evacuation of "{domain}" is reverted')
+def revert_evacuation(context, domain):
     context.relays.evacuate(domain, is_evacuated=False)
 
 
@@ -373,13 +373,13 @@
 def target_state(context, seconds, name, state):
     wanted = f'"evacuated":{"false" if state == "open" else "true"}'
 
-    def is_told():
+    def is_reported():
         lines = context.relays.log(f"node-{name}").splitlines()
-        # A target that takes no work yet says so at the start too.
-        told = [line for line in lines if '"cause":"evacuation"' in line]
-        return bool(told) and wanted in told[-1]
+        # At the start a target that is not ready yet is logged as well, with another cause.
+        reported = [line for line in lines if '"cause":"evacuation"' in line]
+        return bool(reported) and wanted in reported[-1]
 
-    context.relays.wait_until(is_told, seconds)
+    context.relays.wait_until(is_reported, seconds)
 
 
 @then('{count:d} requests "{line}" sent by "{names}" are served, none by the target of "{name}"')
@@ -401,18 +401,18 @@
     context.relays.set_faults()
 
 
-@given("the store has forgotten its history")
-def forgotten(context):
+@given("the store has discarded its history")
+def history_discarded(context):
     context.relays.set_faults(forget=True)
 
 
-@given("the watches of the store are deaf")
-def deaf(context):
+@given("the watches of the store report nothing")
+def watches_report_nothing(context):
     context.relays.set_faults(deaf=True)
 
 
-@when("a document that cannot be read is written")
-def broken_document(context):
+@when("a malformed document is written")
+def write_malformed_document(context):
     context.relays.configure(b'{"version": 12, "resources": [{"type": "routes"')
 
 
@@ -462,10 +462,10 @@
         ready_within(context, name, seconds)
 
 
-@given('callers at "{names}" send "{line}" all the time')
-def flow(context, names, line):
-    context.flow = Flow(context.relays, _names(names), _split(line)[1])
-    context.add_cleanup(context.flow.stop)
+@given('callers at "{names}" send "{line}" continuously')
+def continuous_callers(context, names, line):
+    context.continuous_callers = ContinuousCallers(context.relays, _names(names), _split(line)[1])
+    context.add_cleanup(context.continuous_callers.stop)
     time.sleep(0.5)
 
 
@@ -483,19 +483,19 @@
     return None
 
 
-@then("from its acknowledgement on it starts nothing new")
-def nothing_new(context):
+@then("after the acknowledgement it starts no request")
+def starts_no_request(context):
     time.sleep(1.5)
-    context.flow.stop()
+    context.continuous_callers.stop()
     acknowledged = _acknowledged_at(context, context.leaving)
     late = [at for at in context.relays.run_times(context.leaving) if at > acknowledged]
     assert not late, (acknowledged, late)
 
 
-@then("no caller is told of a failure")
+@then("no request has failed")
 def no_failure(context):
-    context.flow.stop()
-    bad = [one for one in context.flow.answers if one[1] != 200]
+    context.continuous_callers.stop()
+    bad = [one for one in context.continuous_callers.answers if one[1] != 200]
     assert not bad, bad[:5]
 
 
@@ -506,7 +506,7 @@
     assert set(statuses) == {200}, statuses
 
 
-@then('the target of "{name}" ran none of those')
+@then('the target of "{name}" ran none of them')
 def ran_none(context, name):
     assert not [at for at in context.relays.run_times(name) if at > context.since]
 
@@ -525,8 +525,8 @@
     context.relays.signal(f"node-{name}", signal.SIGTERM)
 
 
-@then("it says at once that it is not ready")
-def says_not_ready(context):
+@then("it reports at once that it is not ready")
+def reports_not_ready(context):
     context.relays.wait_until(lambda: not context.relays.is_ready(context.stopped), 1.0)
 
 
@@ -538,25 +538,27 @@
     assert statuses and set(statuses) == {200}, statuses
 
 
-@then("callers that come within {seconds:d} s are all served")
+@then("all requests sent within {seconds:d} s are served")
 def served_meanwhile(context, seconds):
     time.sleep(seconds)
-    context.flow.stop()
-    early = [one for one in context.flow.answers if one[0] < context.stopped_at + seconds]
+    context.continuous_callers.stop()
+    early = [
+        one for one in context.continuous_callers.answers if one[0] < context.stopped_at + seconds
+    ]
     bad = [one for one in early if one[1] != 200]
     assert early and not bad, bad[:5]
 
 
-@then("it has ended within {seconds:d} s")
+@then("its process has ended within {seconds:d} s")
 def ended(context, seconds):
     assert context.relays.wait_end(f"node-{context.stopped}") == 0
 
 
 @then("every request that ran was answered")
 def ran_and_answered(context):
-    context.flow.stop()
+    context.continuous_callers.stop()
     runs = context.relays.all_runs()
-    cut = [one for one in context.flow.answers if one[1] != 200 and runs[one[2]]]
+    cut = [one for one in context.continuous_callers.answers if one[1] != 200 and runs[one[2]]]
     assert not cut, cut[:5]
 
 
@@ -567,7 +569,7 @@
 
 
 @when('the target of "{name}" is started again')
-def target_again(context, name):
+def restart_target(context, name):
     context.relays.start_target(name)
 
 
@@ -605,21 +607,21 @@
         assert wanted in context.metrics, context.metrics
 
 
-@then('the log of "{name}" says of it that it was refused with {status:d} and why')
+@then('the log of "{name}" reports its refusal with {status:d} and the reason')
 def log_says(context, name, status):
-    def found():
+    def find_refusals():
         lines = context.relays.events(name, "refused")
         return [one for one in lines if one["request"] == context.request_id]
 
     assert context.answer.status == status
-    context.relays.wait_until(found, 2.0)
-    (line,) = found()
+    context.relays.wait_until(find_refusals, 2.0)
+    (line,) = find_refusals()
     assert line["code"] == "TARGET_LOST" and line["ran"] == "OUTCOME_UNKNOWN", line
     assert line["reason"] and line["service"] == "orders" and line["config"] == 7, line
 
 
-@when('"{line}" is sent by "{name}" and again each time the target of "{target}" is back')
-def crash_again(context, line, name, target):
+@when('"{line}" is sent by "{name}" and again whenever the target of "{target}" has restarted')
+def send_crashing_request(context, line, name, target):
     method, path = _split(line)
     context.statuses = []
     for _ in range(4):
@@ -639,15 +641,15 @@
     assert not context.relays.has_ended(f"target-{context.target}")
 
 
-@when('the settings of "{name}" get "{line}"')
+@when('the settings of "{name}" get the line "{line}"')
 def change_settings(context, name, line):
     path = context.relays.directory / f"{name}.conf"
     path.write_text(path.read_text() + line + "\n")
 
 
-@then('within {seconds:d} s the log of "{name}" says that they were read again')
+@then('within {seconds:d} s the log of "{name}" reports a reload')
 def reloaded(context, seconds, name):
-    def said():
+    def find_reloads():
         return [one for one in context.relays.events(name, "reload") if one["changed"]]
 
-    context.relays.wait_until(said, seconds + 2)
+    context.relays.wait_until(find_reloads, seconds + 2)
--- a/tests/features/steps/retired_words_steps.py
+++ b/tests/features/steps/retired_words_steps.py
@@ -1,4 +1,4 @@
-"""Steps that search sources for retired words."""
+"""Steps that search source files for retired words."""
 
 import tempfile
 from pathlib import Path
--- a/tests/features/steps/retry_after_steps.py
+++ b/tests/features/steps/retry_after_steps.py
@@ -1,4 +1,4 @@
-"""Steps that refuse many callers at once."""
+"""Steps that compute the retry delays of many callers refused at the same time."""
 
 import random
 
@@ -12,40 +12,42 @@
     " for work of {work:d} ms"
 )
 def refused(context, count, wait, left, work):
-    numbers = random.Random(3)
-    context.spare = (left - work) / 1000
-    context.times = [
-        retry_after(wait / 1000, left / 1000, work / 1000, numbers) for _ in range(count)
+    source = random.Random(3)
+    context.max_delay_s = (left - work) / 1000
+    context.delays = [
+        retry_after(wait / 1000, left / 1000, work / 1000, source) for _ in range(count)
     ]
 
 
-@given("{count:d} callers refused for want of a target")
+@given("{count:d} callers refused because no target is available")
 def without_target(context, count):
-    numbers = random.Random(3)
-    context.times = [retry_after(None, 0.4, 0.1, numbers) for _ in range(count)]
+    source = random.Random(3)
+    context.delays = [retry_after(None, 0.4, 0.1, source) for _ in range(count)]
 
 
-@given("{count:d} callers whose requests were turned away by their targets")
-def shed(context, count):
-    numbers = random.Random(3)
-    context.times = [retry_after_shed(numbers) for _ in range(count)]
+@given("{count:d} callers whose requests were shed by their targets")
+def refused_by_target(context, count):
+    source = random.Random(3)
+    context.delays = [retry_after_shed(source) for _ in range(count)]
 
 
-@then("no tenth of the time holds more than a fifth of their retries")
+@then("no tenth of the interval holds more than a fifth of their retries")
 def spread(context):
-    first, last = min(context.times), max(context.times)
+    first, last = min(context.delays), max(context.delays)
     step = (last - first) / 10
     for number in range(10):
         start = first + number * step
-        inside = sum(start <= time < start + step for time in context.times)
-        assert inside <= len(context.times) / 5, (number, inside)
+        inside = sum(start <= time < start + step for time in context.delays)
+        assert inside <= len(context.delays) / 5, (number, inside)
 
 
 @then("all retry after at least {least:d} ms and with time for their work")
 def in_time(context, least):
-    assert all(least / 1000 <= time <= context.spare for time in context.times), context.times
+    assert all(
+        least / 1000 <= time <= context.max_delay_s for time in context.delays
+    ), context.delays
 
 
 @then("all retry between {least:d} and {most:d} ms")
 def between(context, least, most):
-    assert all(least <= time * 1000 <= most for time in context.times), sorted(context.times)
+    assert all(least <= time * 1000 <= most for time in context.delays), sorted(context.delays)
--- a/tests/features/steps/roster_steps.py
+++ b/tests/features/steps/roster_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the roster of real processes."""
+"""Steps that stop and start hosts, nodes and the platform, and check the roster."""
 
 import re
 import signal
@@ -18,7 +18,7 @@
     return call(context.deployment.nodes[name].admin, "GET", "admin", "/readyz").status == 200
 
 
-@given("nodes {one} with {service} and {other} with {second} that are known to each other")
+@given("nodes {one} with {service} and {other} with {second} that know each other")
 def start_two(context, one, service, other, second):
     plans = [NodePlan(one, service, "fd-a"), NodePlan(other, second, "fd-b")]
     deployment = Deployment(plans)
@@ -36,7 +36,7 @@
 
 
 @when("the platform is back")
-def heal_platform(context):
+def restore_platform(context):
     context.deployment.set_faults()
 
 
@@ -53,7 +53,7 @@
     context.deployment.add(NodePlan(name))
 
 
-@when("host {name} dies")
+@when("host {name} fails")
 def kill_host(context, name):
     for process in (f"node-{name}", f"target-{name}"):
         context.deployment.signal(process, signal.SIGKILL)
@@ -77,7 +77,7 @@
     address = context.deployment.nodes[name].callers
     answers = [call(address, "GET", service, f"/{number}") for number in range(count)]
     assert any(answer.status == 200 for answer in answers)
-    # A refusal says whether the work ran; waiting for the deadline would be code 301.
+    # Code 301 would mean that a call waited until its deadline.
     refused = [answer for answer in answers if answer.status != 200]
     assert all(answer.headers["camphorshelf-code"] != "301" for answer in refused), refused
 
@@ -98,16 +98,16 @@
     assert call(address, "GET", service, "/").headers["camphorshelf-ran"] == "NOT_RUN"
 
 
-@then("node {name} says that it is ready")
+@then("node {name} reports that it is ready")
 def check_ready(context, name):
     context.deployment.wait_until(lambda: _ready(context, name))
 
 
-@then("node {name} says that it is not ready")
+@then("node {name} reports that it is not ready")
 def check_not_ready(context, name):
     assert not _ready(context, name)
 
 
-@then("the platform has taken at most {count:d} writes")
+@then("the platform has received at most {count:d} writes")
 def check_writes(context, count):
     assert context.deployment.counts()["writes"] <= count
--- a/tests/features/steps/routes_steps.py
+++ b/tests/features/steps/routes_steps.py
@@ -1,4 +1,4 @@
-"""Steps that look up routes and share their requests among parts."""
+"""Steps that look up routes and choose services by weight."""
 
 import random
 from collections import Counter
@@ -7,11 +7,11 @@
 
 from camphorshelf_core.routes import Route, RouteTable, ServicePicker, WeightedService
 
-_WHOLE = (WeightedService("s", 1.0),)
+_SINGLE_SERVICE = (WeightedService("s", 1.0),)
 
 
-def _route(prefix, parts=_WHOLE, host="h.example"):
-    return Route(prefix, host, prefix, True, 2, 1.0, 0.5, 1, parts)
+def _route(prefix, weighted_services=_SINGLE_SERVICE, host="h.example"):
+    return Route(prefix, host, prefix, True, 2, 1.0, 0.5, 1, weighted_services)
 
 
 @given('routes "{prefixes}" of host "{host}"')
@@ -26,25 +26,25 @@
     assert (route.name if route else "none") == name, route
 
 
-def _parts(weights):
+def _weighted_services(weights):
     return tuple(
         WeightedService(f"s{number}", float(weight))
         for number, weight in enumerate(weights.split(","))
     )
 
 
-@given("a route whose parts weigh {weights}")
+@given("a route whose services have weights {weights}")
 def weighted(context, weights):
-    context.route = _route("/w/", _parts(weights))
+    context.route = _route("/w/", _weighted_services(weights))
     context.pickers = {}
 
 
 @when("the weights become {weights}")
-def reweighted(context, weights):
-    context.route = _route("/w/", _parts(weights))
+def change_weights(context, weights):
+    context.route = _route("/w/", _weighted_services(weights))
 
 
-@when("{nodes:d} nodes each choose a part for {count:d} requests")
+@when("{nodes:d} nodes each choose a service for {count:d} requests")
 def choose(context, nodes, count):
     context.counts = []
     for number in range(nodes):
@@ -54,22 +54,22 @@
 
 
 def _shares(context):
-    total = sum(part.weight for part in context.route.weighted_services)
-    return {part.service: part.weight / total for part in context.route.weighted_services}
+    total = sum(one.weight for one in context.route.weighted_services)
+    return {one.service: one.weight / total for one in context.route.weighted_services}
 
 
-@then("each part has its share of all within {percent:d} in 100")
-def whole_share(context, percent):
+@then("each service gets its share of all requests within {percent:d} in 100")
+def check_total_shares(context, percent):
     total = Counter()
     for counts in context.counts:
         total.update(counts)
-    everything = sum(total.values())
+    request_count = sum(total.values())
     for service, share in _shares(context).items():
-        assert abs(total[service] / everything - share) <= percent / 100, total
+        assert abs(total[service] / request_count - share) <= percent / 100, total
 
 
-@then("no node gives a part more than {most:d} request beyond its share")
-def node_share(context, most):
+@then("no node gives a service more than {most:d} request beyond its share")
+def check_node_shares(context, most):
     for counts in context.counts:
         for service, share in _shares(context).items():
             assert counts[service] <= share * context.count + most, counts
--- a/tests/features/steps/settings_steps.py
+++ b/tests/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps about settings files, read by the real programs."""
+"""Steps that check settings files with the real programs."""
 
 import subprocess
 import sys
@@ -8,8 +8,8 @@
 from behave import then, when
 
 _ROOT = Path(__file__).resolve().parent.parent.parent.parent
-_GOOD = (_ROOT / "examples" / "cumberland.json").read_text()
-_BAD = (
+_VALID = (_ROOT / "examples" / "cumberland.json").read_text()
+_INVALID = (
     ('name: "counter-1"', 'name: "Counter 1"', "name: ", "'Counter 1'"),
     ('name: "counter-1",', "", "name: is required", ""),
     ("10.1.0.11:8401", "south:8401", "listen.callers: ", "'south:8401'"),
@@ -34,12 +34,12 @@
         assert done.returncode == 0, done.stderr
 
 
-@when("each bad settings file is checked")
-def check_bad_files(context):
+@when("each invalid settings file is checked")
+def check_invalid_files(context):
     context.checks = []
-    for good, bad, field, seen in _BAD:
-        assert good in _GOOD
-        path, done = _run_with(_GOOD.replace(good, bad, 1), "camphorshelf", "check")
+    for valid, invalid, field, seen in _INVALID:
+        assert valid in _VALID
+        path, done = _run_with(_VALID.replace(valid, invalid, 1), "camphorshelf", "check")
         context.checks.append((path, field, seen, done))
 
 
@@ -53,11 +53,11 @@
 
 @when("camphorshelf-node is started with an unknown field in its settings")
 def start_node(context):
-    text = _GOOD.replace("limits: {", "limits: { head_byte: 5,", 1)
+    text = _VALID.replace("limits: {", "limits: { head_byte: 5,", 1)
     _, context.run = _run_with(text, "camphorshelf-node", "--settings")
 
 
-@then('it ends with status {status:d} and says "{text}"')
+@then('it exits with status {status:d} and prints "{text}"')
 def check_end(context, status, text):
     assert context.run.returncode == status, context.run
     assert text in context.run.stderr and "Traceback" not in context.run.stderr
--- a/tests/features/steps/slot_limit_steps.py
+++ b/tests/features/steps/slot_limit_steps.py
@@ -1,4 +1,4 @@
-"""Steps that load targets whose work takes longer beyond some point."""
+"""Steps that load targets whose requests take longer beyond some number at once."""
 
 import statistics
 
@@ -10,10 +10,10 @@
 _SEEDS = range(10)
 
 
-@given("a target with {slots:d} slots that slows down by {longer:f} beyond {bend:d}")
-def bending_target(context, slots, longer, bend):
-    context.adaptive = [BendingTarget(slots, bend, longer, True, seed) for seed in _SEEDS]
-    context.fixed = [BendingTarget(slots, bend, longer, False, seed) for seed in _SEEDS]
+@given("a target with {slots:d} slots that slows down by {slowdown:f} beyond {bend:d}")
+def bending_target(context, slots, slowdown, bend):
+    context.adaptive = [BendingTarget(slots, bend, slowdown, True, seed) for seed in _SEEDS]
+    context.fixed = [BendingTarget(slots, bend, slowdown, False, seed) for seed in _SEEDS]
 
 
 @when("{rate:d} requests a second come for {seconds:d} s")
@@ -36,15 +36,17 @@
     assert trials * 100 <= share * finished, (trials, finished)
 
 
-@then("it answers in time at least {factor:f} of what a fixed limit of 0.8 does")
+@then(
+    "it completes in time at least {factor:f} times as many requests as with a fixed limit of 0.8"
+)
 def check_in_time(context, factor):
     adaptive = sum(target.in_time for target in context.adaptive)
     fixed = sum(target.in_time for target in context.fixed)
     assert adaptive >= factor * fixed, (adaptive, fixed, adaptive / fixed)
 
 
-@given("a limit for {slots:d} slots that has only seen {at_once:d} requests at once")
-def seen_limit(context, slots, at_once):
+@given("a limit for {slots:d} slots that has seen {at_once:d} requests at once at most")
+def used_limit(context, slots, at_once):
     context.limit, context.now = SlotLimit(slots), 0.0
     context.limit.consider_trial(context.now)
     for _ in range(600):
@@ -57,18 +59,18 @@
     context.grown = context.limit.consider_trial(context.now)
 
 
-@when("{seconds:d} s later another one waits for a slot")
+@when("{seconds:d} s later another request waits for a slot")
 def another_waits(context, seconds):
     context.now += seconds
     one_waits(context)
 
 
-@then("{count:d} may run at once")
+@then("{count:d} requests may run at once")
 def may_run(context, count):
     assert context.limit.value == count, context.limit.value
 
 
-@then("{count:d} may run at once, and it is told that more may run")
-def may_run_and_told(context, count):
+@then("{count:d} requests may run at once, and the raised limit is reported")
+def may_run_and_reported(context, count):
     may_run(context, count)
     assert context.grown
--- a/tests/features/steps/starting_steps.py
+++ b/tests/features/steps/starting_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what a node imports, and about metrics that are first read late."""
+"""Steps about the imports of a node, its garbage collection and a late first scrape."""
 
 import gc
 import re
@@ -38,13 +38,13 @@
     assert not {first, second, third} & set(context.modules)
 
 
-@then("no garbage was collected meanwhile")
+@then("no garbage collection ran meanwhile")
 def check_collections(context):
     assert int(context.collections) == 0, context.collections
 
 
-@given("a process that has put off collections")
-def put_off_collections(context):
+@given("a process that has disabled garbage collection")
+def disable_collection(context):
     context.add_cleanup(gc.set_threshold, *gc.get_threshold())
     context.add_cleanup(gc.unfreeze)
     context.add_cleanup(gc.enable)
@@ -56,14 +56,14 @@
     exclude_imports_from_gc()
 
 
-@then("garbage is collected, and what was there before is not looked through")
+@then("garbage collection is enabled, and earlier objects are excluded from it")
 def check_collected(context):
     assert gc.isenabled()
     assert gc.get_freeze_count() > len(gc.get_objects())
 
 
-@given("a node's metrics that nobody has read")
-def unread_metrics(context):
+@given("a node's metrics that nobody has scraped")
+def unscraped_metrics(context):
     context.metrics = Metrics()
 
 
@@ -78,15 +78,15 @@
     return float(re.search(line, text, re.MULTILINE).group(1))
 
 
-@then("the first pull tells {count:d} requests of {milliseconds:d} ms")
-def first_pull(context, count, milliseconds):
+@then("the first scrape reports {count:d} requests of {milliseconds:d} ms")
+def first_scrape(context, count, milliseconds):
     text = context.metrics.render().decode()
     assert _read(text, "count") == count, text
     assert abs(_read(text, "sum") - count * milliseconds / 1000) < 1e-9
 
 
-@then("the second pull tells {count:d} requests after one more")
-def second_pull(context, count):
+@then("the second scrape reports {count:d} requests after one more")
+def second_scrape(context, count):
     context.metrics.record_request("r-start", "200", 0.02)
     text = context.metrics.render().decode()
     assert _read(text, "count") == count, text
--- a/tests/features/steps/stop_steps.py
+++ b/tests/features/steps/stop_steps.py
@@ -1,4 +1,4 @@
-"""Steps that stop nodes and hang callers up, with real processes."""
+"""Steps that stop nodes and disconnect callers, with real processes."""
 
 import signal
 import socket
@@ -10,7 +10,7 @@
 
 from standins.caller import Caller, call, render
 
-_LONGEST = (("Deadline-Ms", "60000"),)
+_LONGEST_DEADLINE = (("Deadline-Ms", "60000"),)
 
 
 def connect(context, name):
@@ -33,12 +33,12 @@
     before = runs_started(context, "c1")
     context.caller = connect(context, name)
     path = f"/orders?key=k{milliseconds}&work_ms={milliseconds}"
-    context.caller.send(render("POST", "orders", path, _LONGEST, b"one order"))
+    context.caller.send(render("POST", "orders", path, _LONGEST_DEADLINE, b"one order"))
     context.deployment.wait_until(lambda: runs_started(context, "c1") > before)
 
 
-@given("callers at {name} send lookups for counter without a pause")
-def send_without_pause(context, name):
+@given("callers at {name} send lookups for counter continuously")
+def send_continuously(context, name):
     context.statuses, context.done = [], threading.Event()
 
     def repeat():
@@ -64,13 +64,13 @@
     assert context.caller.request("GET", "counter", "/tags/7").status == 200
 
 
-@given("{count:d} callers are connected to {name}, which takes {limit:d}")
+@given("{count:d} callers are connected to {name}, which allows {limit:d}")
 def connect_many(context, count, name, limit):
     assert count == limit
     context.callers = []
 
     def connects():
-        # The node may not have seen yet that the callers of the set-up are gone.
+        # The node may not have noticed yet that earlier callers have disconnected.
         caller = connect(context, name)
         if caller.request("GET", "counter", "/tags/7").status != 200:
             return False
@@ -100,23 +100,23 @@
     stop_node(context, name)
 
 
-@when("the caller goes away by {way}")
-def go_away(context, way):
+@when("the caller disconnects by {way}")
+def disconnect(context, way):
     sock = context.caller._socket
     if way == "reset":
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
-@when("one caller leaves {name}")
-def leave(context, name):
+@when("one caller disconnects from {name}")
+def disconnect_one(context, name):
     context.callers.pop().close()
 
 
-@when("{count:d} callers come to {name} and leave one after the other")
-def come_and_leave(context, count, name):
+@when("{count:d} callers connect to {name} and disconnect one after the other")
+def connect_and_disconnect(context, count, name):
     for _ in range(count):
-        # The node may see the last one's end a moment after the next one's beginning.
+        # The node may notice that a caller has disconnected after the next one connects.
         context.deployment.wait_until(lambda: is_served(context, name))
 
 
@@ -130,17 +130,17 @@
     context.answer = caller.read()
 
 
-@then("the caller gets its answer")
-def check_gets_answer(context):
+@then("the caller gets its response")
+def check_gets_response(context):
     answer = context.caller.read()
     assert answer.status == 200, answer
     assert answer.body.startswith(b"c1 POST"), answer
     return answer
 
 
-@then("the caller gets its answer and its connection closes")
-def check_gets_answer_and_close(context):
-    answer = check_gets_answer(context)
+@then("the caller gets its response and its connection closes")
+def check_gets_response_and_close(context):
+    answer = check_gets_response(context)
     assert answer.headers["connection"] == "close", answer
     assert context.caller.at_end()
 
--- a/tests/features/steps/store_connections_steps.py
+++ b/tests/features/steps/store_connections_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play the store's connections on fake streams."""
+"""Steps that simulate the connections to the store with fake streams."""
 
 import base64
 import json
@@ -12,7 +12,7 @@
 from camphorshelf_relay.settings import Endpoint
 from standins.fakes import FakeLoop, FakeStream
 
-_ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{"rows":[],"ver": 1}'
+_RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{"rows":[],"ver": 1}'
 
 
 @given("a client of the store with 2 kept connections")
@@ -31,19 +31,19 @@
         context.store.read("op", lambda result: None)
     for stream in context.streams:
         stream.on_connect()
-        stream.on_data(_ANSWER)
+        stream.on_data(_RESPONSE)
     context.loop.advance(0.01)
 
 
 @when("a call loses its connection twice")
-def lose(context):
+def lose_connections(context):
     context.store.read("hosts", lambda result: None)
     used = next(stream for stream in context.streams if b"table=hosts" in stream.sent)
     used.close()
-    # The client tries a lookup once more by itself, on a new connection; that one is lost too.
-    again = context.streams[-1]
-    again.on_connect()
-    again.close()
+    # The client retries a read once by itself, on a new connection, which is lost too.
+    retried = context.streams[-1]
+    retried.on_connect()
+    retried.close()
 
 
 @then("the other kept connection is closed and the next call opens a new one")
@@ -53,21 +53,21 @@
     assert len(context.streams) == 4
 
 
-@given("a table of {count:d} rows, of which the store gives {page:d} at once")
-def table(context, count, page):
+@given("a table of {count:d} rows, of which the store returns {page_size:d} at once")
+def table(context, count, page_size):
     context.keys = [f"host-{number:04}" for number in range(count)]
-    context.page = page
+    context.page_size = page_size
 
 
-def _answer_page(context, stream):
-    line = stream.sent.split(b"\r\n\r\n")[-2].split(b"\r\n")[0].split()[1].decode()
-    first = parse_qs(urlsplit(line).query).get("from", [""])[0]
+def _respond_with_page(context, stream):
+    path = stream.sent.split(b"\r\n\r\n")[-2].split(b"\r\n")[0].split()[1].decode()
+    first = parse_qs(urlsplit(path).query).get("from", [""])[0]
     keys = [key for key in context.keys if key >= first]
     rows = [
         {"key": key, "value": base64.b64encode(key.encode()).decode(), "ver": 1}
-        for key in keys[: context.page]
+        for key in keys[: context.page_size]
     ]
-    body = json.dumps({"rows": rows, "truncated": len(keys) > context.page, "ver": 9}).encode()
+    body = json.dumps({"rows": rows, "truncated": len(keys) > context.page_size, "ver": 9}).encode()
     stream.on_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
 
@@ -78,12 +78,12 @@
     while not context.results and context.calls < 10:
         context.calls += 1
         sent = [stream for stream in context.streams if not stream.closed]
-        asked = max(sent, key=lambda stream: stream.sent.count(b"table=hosts"))
-        _answer_page(context, asked)
+        requested = max(sent, key=lambda stream: stream.sent.count(b"table=hosts"))
+        _respond_with_page(context, requested)
         context.loop.advance(0.01)
 
 
-@then("all {count:d} rows come in order, by {calls:d} calls")
+@then("all {count:d} rows are returned in order, by {calls:d} calls")
 def whole_table(context, count, calls):
     (result,) = context.results
     assert [row.key for row in result.rows] == context.keys
--- a/tests/features/steps/store_pollers_steps.py
+++ b/tests/features/steps/store_pollers_steps.py
@@ -1,4 +1,4 @@
-"""Steps that ask each node whether it would poll the store."""
+"""Steps that determine for each node whether it polls the store."""
 
 from behave import given, then, when
 
@@ -25,15 +25,15 @@
     context.lacking |= context.before
 
 
-@when("one of the pollers is gone")
-def poller_gone(context):
+@when("one of the pollers fails")
+def poller_fails(context):
     polling = _pollers(context.names, context.lacking)
-    gone = min(polling)
-    context.names.remove(gone)
-    context.before = polling - {gone}
+    failed = min(polling)
+    context.names.remove(failed)
+    context.before = polling - {failed}
 
 
-@when("they are cut into halves that do not hear each other")
+@when("a partition splits them into halves")
 def halves(context):
     middle = len(context.names) // 2
     context.halves = context.names[:middle], context.names[middle:]
@@ -64,17 +64,17 @@
         context.lacking |= new
 
 
-@then("at most {count:d} nodes poll in one moment, and all have polled")
+@then("at most {count:d} nodes poll at the same time, and all have polled")
 def check_waves(context, count):
     assert max(context.waves) <= count, context.waves
     assert context.lacking == set(context.names)
 
 
-@then("{count:d} go on polling every second")
+@then("{count:d} nodes keep polling every second")
 def check_default(context, count):
-    trying = [
+    default_pollers = [
         name
         for name in context.names
         if is_default_poller(name, _others(name, context.names, context.lacking))
     ]
-    assert len(trying) == count, trying
+    assert len(default_pollers) == count, default_pollers
