--- a/tests/features/quarantine.feature
+++ b/tests/features/quarantine.feature
@@ -53,7 +53,7 @@
     Then poison is clear at all nodes
 
   Scenario: Two suspects never run at one target at the same time
-    # If the target crashed, both would be blamed, the innocent one too.
+    # If the target crashed, both would be blamed, the innocent one as well.
     Given a limiter for suspects
     When suspects s1, s2 and s3 arrive
     Then only s1 runs
--- a/tests/features/relay_changes.feature
+++ b/tests/features/relay_changes.feature
@@ -70,7 +70,7 @@
     # Guards against requests to an evacuated domain from a restarted node that has lost the
     # evacuation.
     When failure domain "fd-b" is evacuated
-    Then within 3 s the target of "b" is closed
+    Then within 3 s the target of "b" is evacuated
     And 20 requests "GET /look/x" sent by "a, b, c" are served, none by the target of "b"
     When the store is down
     And the node of "b" is killed and started again
@@ -78,7 +78,7 @@
     And 20 requests "GET /look/x" sent by "a, b, c" are served, none by the target of "b"
     When the store is back
     And the evacuation of "fd-b" is reverted
-    Then within 3 s the target of "b" is open
+    Then within 3 s the target of "b" is in use
 
   Scenario: Requests are refused while all failure domains of their service are evacuated
     # Guards against requests that wait for a target that operators have evacuated.
@@ -108,7 +108,7 @@
     Then after the second crash it is refused 503 and the target stays up
     And a caller at "a" is served "POST /order/x" within 2 s
 
-  Scenario: A stopping node answers every request that it has run
+  Scenario: A stopping node cuts off no request that it has read
     # Guards against a request that a stopping node has read and then cuts off.
     Given callers at "a" send "GET /look/x?work_ms=200" continuously
     When the node of "a" is told to stop
--- a/tests/features/steps/relay_steps.py
+++ b/tests/features/steps/relay_steps.py
@@ -371,7 +371,7 @@
 
 @then('within {seconds:d} s the target of "{name}" is {state}')
 def target_state(context, seconds, name, state):
-    wanted = f'"evacuated":{"false" if state == "open" else "true"}'
+    wanted = f'"evacuated":{"false" if state == "in use" else "true"}'
 
     def is_reported():
         lines = context.relays.log(f"node-{name}").splitlines()
--- a/tests/features/steps/target_answers_steps.py
+++ b/tests/features/steps/target_answers_steps.py
@@ -1,4 +1,4 @@
-"""Steps that feed a link to a target with bytes, whole answers and parts of them."""
+"""Steps that deliver responses, complete or in parts, on the connections to a target."""
 
 import re
 from unittest import mock
@@ -12,7 +12,7 @@
 from camphorshelf_relay.targetpool import TargetConnectionPool
 from standins.fakes import FakeLoop, FakeStream
 
-# A head is written as {status id framing}; the id "-" stands for none.
+# The features write a response head as {status id framing}, and the id "-" for no id.
 _HEAD = re.compile(r"\{(\d+) (\S) ([a-z0-9 ]+)\}")
 _FRAMINGS = {
     "none": "",
@@ -27,7 +27,7 @@
 
 
 @given("a link to a target")
-def give_link(context):
+def make_link(context):
     context.loop = FakeLoop()
     context.streams = []
     context.results = {}
@@ -70,7 +70,7 @@
 
 
 @when("{size:d} bytes of a head without an end arrive in one read")
-def deliver_endless_head(context, size):
+def deliver_unterminated_head(context, size):
     deliver(context, "HTTP/1.1 200 OK~X: " + "x" * size)
 
 
@@ -128,18 +128,18 @@
     assert (result.response.status, result.response.body) == (status, body), result
 
 
-@then("nothing is known yet of {request_id:w}")
+@then("nothing has been received yet for {request_id:w}")
 def check_nothing(context, request_id):
     assert not context.results[request_id], context.results
 
 
-@then("nothing is known yet of the probe")
+@then("nothing has been received yet for the probe")
 def check_nothing_of_probe(context):
     assert not context.results[_PROBE], context.results
 
 
 @then("the caller of {request_id:w} is told that it may have run")
-def check_lost(context, request_id):
+def check_may_have_run(context, request_id):
     (result,) = context.results[request_id]
     assert isinstance(result, RequestFailure), result
     assert result.sent
@@ -158,12 +158,12 @@
     assert len(context.streams) == count, len(context.streams)
 
 
-@then('a stray answer "{place}" is told with request "{request_id}"')
+@then('a stray response "{place}" is reported with request "{request_id}"')
 def check_stray(context, place, request_id):
     assert context.strays == [(place, request_id.strip("-"))], context.strays
 
 
-@then('the answer of {request_id:w} was found by "{framing}" behind {skipped:d} others')
-def check_origin(context, request_id, framing, skipped):
+@then('the response to {request_id:w} was framed by "{framing}" after {skipped:d} others')
+def check_framing(context, request_id, framing, skipped):
     (result,) = context.results[request_id]
     assert result.origin == (framing, True, skipped), result.origin
--- a/tests/features/steps/target_link_steps.py
+++ b/tests/features/steps/target_link_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play a target on fake streams."""
+"""Steps that simulate a target that answers health probes, with fake streams."""
 
 from unittest import mock
 
@@ -14,27 +14,27 @@
 from standins.fakes import FakeLoop, FakeStream
 from standins.relayparts import SETTINGS
 
-_HEALTH = (
+_HEALTH_RESPONSE = (
     b"HTTP/1.1 200 OK\r\nInstance: i-1\r\nInstance-Load: 0,0,9,100\r\nContent-Length: 0\r\n\r\n"
 )
 
 
-class _Log:
+class _NullLog:
     def notable(self, event, **fields):
-        """Take no note."""
+        """Ignore the event."""
 
 
 class _Streams:
-    """Connections that answer each question at once unless they are silent."""
+    """Connections that answer each probe at once unless they are silent."""
 
     def __init__(self, loop):
         self._loop = loop
         self.opened = []
-        self.all_silent = False
+        self.target_silent = False
 
     def dial(self, _loop, _address):
         stream = FakeStream()
-        stream.silent = self.all_silent
+        stream.silent = self.target_silent
         stream.write = lambda data: self._on_write(stream)
         self.opened.append(stream)
         self._loop.call_later(0.001, lambda: stream.closed or stream.on_connect())
@@ -42,17 +42,17 @@
 
     def _on_write(self, stream):
         if not stream.silent:
-            self._loop.call_later(0.001, lambda: stream.closed or stream.on_data(_HEALTH))
+            self._loop.call_later(0.001, lambda: stream.closed or stream.on_data(_HEALTH_RESPONSE))
 
 
-@given("a target whose health is asked, with 3 kept connections")
+@given("a target whose health is probed, with 3 kept connections")
 def target(context):
     context.loop = FakeLoop()
     context.streams = _Streams(context.loop)
     patch = mock.patch.object(targetpool, "dial", context.streams.dial)
     patch.start()
     context.add_cleanup(patch.stop)
-    context.subject = Target(context.loop, SETTINGS, HEADER_CODEC, AdmissionQueue(), _Log())
+    context.subject = Target(context.loop, SETTINGS, HEADER_CODEC, AdmissionQueue(), _NullLog())
     context.subject.configure(ServiceSettings("/health"))
     context.subject.handle_heartbeat(
         Heartbeat("i-1", 1, 1, "counter", "127.0.0.1:1", 9, False, 0.0)
@@ -72,9 +72,9 @@
     context.loop.advance(seconds)
 
 
-@when("the target says nothing for {seconds:f} s")
-def all_silent(context, seconds):
-    context.streams.all_silent = True
+@when("the target does not respond for {seconds:f} s")
+def target_silent(context, seconds):
+    context.streams.target_silent = True
     kept_silent(context, seconds)
 
 
@@ -83,13 +83,13 @@
     assert all(stream.closed for stream in context.kept)
 
 
-@then("the next question goes over a new connection and the target is not taken for dead")
-def not_dead(context):
+@then("the next probe uses a new connection and the target stays available")
+def still_available(context):
     context.loop.advance(0.1)
     assert len(context.streams.opened) > 3
     assert context.subject.accepting
 
 
-@then("the target is taken for dead")
-def dead(context):
+@then("the target is unavailable")
+def unavailable(context):
     assert not context.subject.accepting
--- a/tests/features/steps/target_side_steps.py
+++ b/tests/features/steps/target_side_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play a target on fake streams."""
+"""Steps that simulate the connections of a target with fake streams."""
 
 from unittest import mock
 
@@ -9,12 +9,12 @@
 from camphorshelf_node.httpclient import Failed, HttpClient
 from standins.fakes import FakeLoop, FakeStream
 
-_MAX_ANSWER = 1_000
+_MAX_RESPONSE_BYTES = 1_000
 
 
 def make_client(context, connects):
     context.loop, context.streams, context.results = FakeLoop(), [], []
-    context.abandon = None
+    context.cancel = None
 
     def dial(loop, _address):
         stream = FakeStream()
@@ -26,23 +26,23 @@
     patch = mock.patch.object(httpclient, "dial", dial)
     patch.start()
     context.add_cleanup(patch.stop)
-    context.client = HttpClient(context.loop, ("127.0.0.1", 1), 4, _MAX_ANSWER)
+    context.client = HttpClient(context.loop, ("127.0.0.1", 1), 4, _MAX_RESPONSE_BYTES)
 
 
 @given("a client of a target")
-def give_client(context):
+def make_usual_client(context):
     make_client(context, connects=True)
 
 
 @given("a client of a target that takes no connections")
-def give_unreachable(context):
+def make_unreachable_client(context):
     make_client(context, connects=False)
 
 
 @given("a kept connection to the target")
 def keep_connection(context):
     send(context, "GET")
-    say(context, "HTTP/1.1 200 OK~Content-Length: 2~~ok")
+    deliver(context, "HTTP/1.1 200 OK~Content-Length: 2~~ok")
     assert len(context.results) == 1
     context.results.clear()
 
@@ -61,24 +61,24 @@
 @when("a {method} is sent to the target")
 def send(context, method):
     request = Request(method, b"/", ((b"host", b"a"),), b"")
-    context.abandon = context.client.send(request, context.results.append)
+    context.cancel = context.client.send(request, context.results.append)
     context.loop.advance(0)
 
 
-@when('the target says "{text}" and waits')
-def say(context, text):
+@when('the target sends "{text}" and waits')
+def deliver(context, text):
     context.streams[-1].on_data(text.replace("~", "\r\n").encode())
     context.loop.advance(0)
 
 
-@when('the target says "{text}" and hangs up')
-def say_and_hang_up(context, text):
-    say(context, text)
+@when('the target sends "{text}" and closes')
+def deliver_and_close(context, text):
+    deliver(context, text)
     context.streams[-1].close()
 
 
-@when("the target hangs up")
-def target_hangs_up(context):
+@when("the target closes the connection")
+def target_closes(context):
     context.streams[-1].close()
     context.loop.advance(0)
 
@@ -89,14 +89,14 @@
     send(context, "POST")
 
 
-@when("the target says a body of {size:d} bytes where 1000 are allowed")
+@when("the target sends a body of {size:d} bytes where 1000 are allowed")
 def say_large(context, size):
-    say(context, f"HTTP/1.1 200 OK~Transfer-Encoding: chunked~~{size:x}~{'x' * size}~0~~")
+    deliver(context, f"HTTP/1.1 200 OK~Transfer-Encoding: chunked~~{size:x}~{'x' * size}~0~~")
 
 
-@when("the target says {size:d} bytes of head without an end")
-def say_endless(context, size):
-    say(context, "HTTP/1.1 200 OK~X: " + "x" * size)
+@when("the target sends {size:d} bytes of head without an end")
+def deliver_unterminated_head(context, size):
+    deliver(context, "HTTP/1.1 200 OK~X: " + "x" * size)
 
 
 @when("5 calls are sent over its 4 connections")
@@ -119,9 +119,9 @@
     assert context.streams[0].closed
 
 
-@when("the call is abandoned")
-def abandon(context):
-    context.abandon()
+@when("the call is cancelled")
+def cancel(context):
+    context.cancel()
 
 
 @when("the connection is idle for {seconds:d} seconds")
--- a/tests/features/steps/ticket_steps.py
+++ b/tests/features/steps/ticket_steps.py
@@ -1,4 +1,4 @@
-"""Steps about work under a ticket."""
+"""Steps that send orders with tickets, and fill a ticket store."""
 
 import json
 
@@ -37,7 +37,7 @@
 
 
 @when("a forged ticket is used at node {node:w}")
-def use_forged(context, node):
+def use_forged_ticket(context, node):
     *parts, proof = context.ticket.split(".")
     forged = ".".join([*parts, "0" * len(proof)])
     send_order(context, forged, node)
@@ -45,28 +45,28 @@
 
 @when("the ticket is used at nodes {first:w} and {second:w} at once, working {milliseconds:d} ms")
 def use_at_once(context, first, second, milliseconds):
-    callers = [_begin(context, node, milliseconds) for node in (first, second)]
+    callers = [_send_order(context, node, milliseconds) for node in (first, second)]
     for caller in callers:
         note_answer(context, caller.read(), 0)
 
 
-@when("the ticket is begun at node {node:w}, working {milliseconds:d} ms")
-def begin_ticket(context, node, milliseconds):
-    context.begun = _begin(context, node, milliseconds)
+@when("the ticket is started at node {node:w}, working {milliseconds:d} ms")
+def start_ticket(context, node, milliseconds):
+    context.started_caller = _send_order(context, node, milliseconds)
     context.deployment.wait_until(lambda: count_runs(context, context.ticket) == 1)
 
 
-@when("the ticket is begun at node {node:w}, working {milliseconds:d} ms, and its caller hangs up")
-def begin_and_hang_up(context, node, milliseconds):
-    begin_ticket(context, node, milliseconds)
-    context.begun.close()
+@when("the ticket is started at node {node:w}, working {work:d} ms, and its caller disconnects")
+def start_and_disconnect(context, node, work):
+    start_ticket(context, node, work)
+    context.started_caller.close()
 
 
 @when("the ticket is used at node {node:w}, working {work:d} ms, and its node is killed meanwhile")
 def use_and_kill(context, node, work):
-    begin_ticket(context, node, work)
+    start_ticket(context, node, work)
     kill_tickets_node(context)
-    note_answer(context, context.begun.read(), 0)
+    note_answer(context, context.started_caller.read(), 0)
 
 
 @when("the ticket's node is killed")
@@ -74,7 +74,7 @@
     end_process(context, f"node-{parse_ticket(context.ticket).node}")
 
 
-@when("the ticket's node is started anew")
+@when("the ticket's node is started again")
 def restart_tickets_node(context):
     name = parse_ticket(context.ticket).node
     context.deployment.start_node(name)
@@ -96,7 +96,7 @@
     assert count_runs(context, context.ticket) == count
 
 
-def _begin(context, node, milliseconds):
+def _send_order(context, node, milliseconds):
     caller = Caller(context.deployment.nodes[node].callers)
     context.add_cleanup(caller.close)
     path = f"/orders?key={context.ticket}&work_ms={milliseconds}"
@@ -105,22 +105,24 @@
     return caller
 
 
-@given("a ticket book with room for 3 tickets")
-def make_book(context):
+@given("a ticket store with room for 3 tickets")
+def make_ticket_store(context):
     context.settings = ClaimSettings(tickets=3)
     context.invariants = Invariants()
-    context.book = TicketStore(context.settings, "n", "i1", b"secret", context.invariants)
+    context.ticket_store = TicketStore(context.settings, "n", "i1", b"secret", context.invariants)
 
 
 @when("3 tickets are minted and the first one runs")
 def mint_three(context):
-    context.tickets = [parse_ticket(context.book.mint("orders", 0.0)) for _ in range(3)]
-    assert context.book.begin(context.tickets[0], "orders", b"d", 0.0).step is TicketStep.RUN
+    context.tickets = [parse_ticket(context.ticket_store.mint("orders", 0.0)) for _ in range(3)]
+    assert (
+        context.ticket_store.begin(context.tickets[0], "orders", b"d", 0.0).step is TicketStep.RUN
+    )
 
 
 @then("a fourth ticket is refused with code 245")
 def check_full(context):
-    refusal = context.book.mint("orders", 1.0)
+    refusal = context.ticket_store.mint("orders", 1.0)
     assert isinstance(refusal, Refusal) and refusal.code is Code.TICKETS_FULL, refusal
 
 
@@ -131,15 +133,15 @@
 
 @then("2 tickets can be minted, and the first one still runs")
 def check_room(context):
-    minted = [context.book.mint("orders", context.now) for _ in range(3)]
+    minted = [context.ticket_store.mint("orders", context.now) for _ in range(3)]
     assert [isinstance(one, Refusal) for one in minted] == [False, False, True], minted
-    taken = context.book.begin(context.tickets[0], "orders", b"d", context.now)
-    assert taken.step is TicketStep.WAIT, taken
+    second_use = context.ticket_store.begin(context.tickets[0], "orders", b"d", context.now)
+    assert second_use.step is TicketStep.WAIT, second_use
 
 
 @then("the second ticket is refused as OUTCOME_UNKNOWN")
 def check_forgotten(context):
-    step, refusal = context.book.begin(context.tickets[1], "orders", b"d", context.now)
+    step, refusal = context.ticket_store.begin(context.tickets[1], "orders", b"d", context.now)
     assert step is TicketStep.ANSWER
     assert (refusal.code, refusal.ran) == (Code.TICKET_FORGOTTEN, Ran.OUTCOME_UNKNOWN)
     assert not context.invariants.broken
--- a/tests/features/steps/warm_up_steps.py
+++ b/tests/features/steps/warm_up_steps.py
@@ -1,4 +1,4 @@
-"""Steps that send requests to a target that may be cold, on a clock of their own."""
+"""Steps that send requests to a target that may be cold, on a simulated clock."""
 
 from behave import given, then, when
 
@@ -9,47 +9,47 @@
 _BOUNDS = WarmUpBounds(1.5, 8.0)
 _RATE_PER_S = 7.0
 _COLD_SECONDS = 3.0
-_STEP = 0.001
-_WORD_EACH = 0.1
-_JUST_STARTED = 1_000.0
+_STEP_SECONDS = 0.001
+_REPORT_INTERVAL_SECONDS = 0.1
+_STARTED_AT = 1_000.0
 
 
-class Play:
-    """A target's warm-up, and the requests that were started."""
+class WarmUpSimulation:
+    """Simulates the warm-up of a target and records the requests that were started."""
 
     def __init__(self, age):
-        self.now = _JUST_STARTED
+        self.now = _STARTED_AT
         self.warm_up = WarmUp(self.now)
         self.warm_up.configure(_RATE_PER_S, _COLD_SECONDS, _BOUNDS, self.now)
         self.now += age
-        self.told_at = None
+        self.reported_at = None
         self.cold_until = 0.0
         self.starts = []
         self.waits = []
-        self.mark = 0
+        self.rate_changed_at = 0
 
-    def come(self, per_s, seconds):
-        """Let requests come evenly, and start each as soon as it may be sent."""
+    def receive(self, per_s, seconds):
+        """Let requests arrive evenly, and start each as soon as it may be sent."""
         end, next_at, waiting = self.now + seconds, self.now, []
         while self.now < end:
-            self._repeat()
+            self._repeat_report()
             while next_at <= self.now:
                 waiting.append(next_at)
                 next_at += 1 / per_s
             while waiting and self.warm_up.wait_s(self.now) <= 0:
                 self.waits.append(self.now - waiting.pop(0))
                 self.start()
-            self.now += _STEP
+            self.now += _STEP_SECONDS
 
-    def say(self, cold_left_s):
-        """Let the target tell, and go on telling, whether it is cold."""
+    def report(self, cold_left_s):
+        """Let the target report now, and regularly from now on, whether it is cold."""
         self.cold_until = self.now + cold_left_s
-        self.told_at = self.now
+        self.reported_at = self.now
         self.warm_up.record_response(cold_left_s, self.now)
 
-    def _repeat(self):
-        if self.told_at is not None and self.now - self.told_at >= _WORD_EACH:
-            self.say(max(0.0, self.cold_until - self.now))
+    def _repeat_report(self):
+        if self.reported_at is not None and self.now - self.reported_at >= _REPORT_INTERVAL_SECONDS:
+            self.report(max(0.0, self.cold_until - self.now))
 
     def start(self):
         """Start one request."""
@@ -57,140 +57,146 @@
         self.starts.append(self.now)
 
 
-@given("a target that has told it is cold for {seconds:f} s")
-def told_cold(context, seconds):
-    context.play = Play(age=5.0)
-    context.play.say(seconds)
+@given("a target that has reported that it is cold for {seconds:f} s")
+def reported_cold(context, seconds):
+    context.simulation = WarmUpSimulation(age=5.0)
+    context.simulation.report(seconds)
 
 
-@given("a target that has told it is warm")
-def told_warm(context):
-    context.play = Play(age=5.0)
-    context.play.say(0.0)
+@given("a target that has reported that it is warm")
+def reported_warm(context):
+    context.simulation = WarmUpSimulation(age=5.0)
+    context.simulation.report(0.0)
 
 
-@given("a target that has told nothing")
-def told_nothing(context):
-    context.play = Play(age=0.0)
+@given("a target that has reported nothing")
+def reported_nothing(context):
+    context.simulation = WarmUpSimulation(age=0.0)
 
 
 @given("its service has no rate")
 def no_rate(context):
-    context.play.warm_up.configure(None, 0.0, _BOUNDS, context.play.now)
+    context.simulation.warm_up.configure(None, 0.0, _BOUNDS, context.simulation.now)
 
 
 @when("{per_s:d} requests a second come for {seconds:f} s")
-def come(context, per_s, seconds):
-    context.play.come(per_s, seconds)
+def requests_arrive(context, per_s, seconds):
+    context.simulation.receive(per_s, seconds)
 
 
-@when("it is away for {seconds:f} s")
-def pass_time(context, seconds):
-    context.play.told_at = None
-    context.play.now += seconds
+@when("nothing is heard of it for {seconds:f} s")
+def pass_time_unheard(context, seconds):
+    context.simulation.reported_at = None
+    context.simulation.now += seconds
 
 
-@when("it tells that it is cold for {seconds:f} s")
-def tell_cold(context, seconds):
-    context.play.say(seconds)
+@when("it reports that it is cold for {seconds:f} s")
+def report_cold(context, seconds):
+    context.simulation.report(seconds)
 
 
-@when("it tells that it is warm")
-def tell_warm(context):
-    context.play.say(0.0)
+@when("it reports that it is warm")
+def report_warm(context):
+    context.simulation.report(0.0)
 
 
 @when("it announces that it is cold for {seconds:f} s")
 def announce(context, seconds):
-    context.play.warm_up.record_announced(seconds, context.play.now)
+    context.simulation.warm_up.record_announced(seconds, context.simulation.now)
 
 
-@when("its health answers without a word of that")
-def say_nothing(context):
-    context.play.warm_up.record_response(None, context.play.now)
+@when("its health response does not mention it")
+def respond_without_report(context):
+    context.simulation.warm_up.record_response(None, context.simulation.now)
 
 
-@when("its connection breaks off")
-def break_off(context):
-    context.play.told_at = None
-    context.play.warm_up.record_replaced(context.play.now)
+@when("its connection closes")
+def close_connection(context):
+    context.simulation.reported_at = None
+    context.simulation.warm_up.record_replaced(context.simulation.now)
 
 
 @when("the rate becomes {rate:f} a second with a bound of {bound:f}")
 def change_rate(context, rate, bound):
-    context.play.mark = context.play.now
+    context.simulation.rate_changed_at = context.simulation.now
     bounds = WarmUpBounds(1.0, bound - rate)
-    context.play.warm_up.configure(rate, _COLD_SECONDS, bounds, context.play.now)
+    context.simulation.warm_up.configure(rate, _COLD_SECONDS, bounds, context.simulation.now)
 
 
 @when("{count:d} requests that started {seconds:f} s ago are written at once")
 def write_late(context, count, seconds):
     for _ in range(count):
-        context.play.warm_up.record_start(context.play.now)
-    context.play.now += seconds
+        context.simulation.warm_up.record_start(context.simulation.now)
+    context.simulation.now += seconds
     for _ in range(count):
-        context.play.start()
+        context.simulation.start()
 
 
 @then("no second has more than {most:d} starts")
-@then("no second after the last word that it was warm has more than {most:d} starts")
+@then("no second after the last report that it was warm has more than {most:d} starts")
 def check_most(context, most):
-    assert _busiest_second(context.play.starts) <= most, _busiest_second(context.play.starts)
+    assert _busiest_second(context.simulation.starts) <= most, _busiest_second(
+        context.simulation.starts
+    )
 
 
 @then("no second since then has more than {most:d} starts")
 def check_most_since(context, most):
-    starts = [at for at in context.play.starts if at >= context.play.mark - 1.0]
-    late = [at for at in starts if at >= context.play.mark]
-    assert late, "nothing was started any more"
+    starts = [
+        at for at in context.simulation.starts if at >= context.simulation.rate_changed_at - 1.0
+    ]
+    late = [at for at in starts if at >= context.simulation.rate_changed_at]
+    assert late, "no request was started after the rate changed"
     busiest = max(sum(at - 1.0 < other <= at for other in starts) for at in late)
     assert busiest <= most, busiest
 
 
 @then("at least {least:d} start in each whole second")
 def check_least(context, least):
-    first, last = context.play.starts[0], context.play.starts[-1]
+    first, last = context.simulation.starts[0], context.simulation.starts[-1]
     for second in range(int(last - first)):
-        count = sum(first + second <= at < first + second + 1 for at in context.play.starts)
+        count = sum(first + second <= at < first + second + 1 for at in context.simulation.starts)
         assert count >= least, (second, count)
 
 
-@then("every request starts when it comes")
+@then("every request starts when it arrives")
 def check_no_wait(context):
-    assert context.play.waits and max(context.play.waits) <= _STEP, max(context.play.waits)
+    assert context.simulation.waits and max(context.simulation.waits) <= _STEP_SECONDS, max(
+        context.simulation.waits
+    )
 
 
 @then("a request starts at once")
 def check_starts(context):
-    assert context.play.warm_up.wait_s(context.play.now) == 0.0
+    assert context.simulation.warm_up.wait_s(context.simulation.now) == 0.0
 
 
 @then("the next request waits for at least {least:f} s and at most {most:f} s")
 def check_wait(context, least, most):
-    wait = context.play.warm_up.wait_s(context.play.now)
+    wait = context.simulation.warm_up.wait_s(context.simulation.now)
     assert least <= wait <= most, wait
 
 
 @then("{count:d} requests have started")
 def check_count(context, count):
-    assert len(context.play.starts) == count, len(context.play.starts)
+    assert len(context.simulation.starts) == count, len(context.simulation.starts)
 
 
 @then("at most {most:d} requests have started")
 def check_at_most(context, most):
-    assert len(context.play.starts) <= most, len(context.play.starts)
+    assert len(context.simulation.starts) <= most, len(context.simulation.starts)
 
 
 @then("at least {least:d} requests have started")
 def check_at_least(context, least):
-    assert len(context.play.starts) >= least, len(context.play.starts)
+    assert len(context.simulation.starts) >= least, len(context.simulation.starts)
 
 
 @given("a cold target whose queue holds {count:d} requests of priority 2")
 def cold_queue(context, count):
-    play = context.play = Play(age=5.0)
-    play.say(3.0)
-    context.admission = AdmissionQueue(9, play.warm_up)
+    simulation = context.simulation = WarmUpSimulation(age=5.0)
+    simulation.report(3.0)
+    context.admission = AdmissionQueue(9, simulation.warm_up)
     context.order = []
     while context.admission.queued < count:
         _offer(context, 2)
@@ -204,8 +210,8 @@
 @then("it starts next")
 def check_next(context):
     before = len(context.order)
-    wait = context.admission.next_dispatch_s(context.play.now)
-    context.admission.dispatch(context.play.now + wait)
+    wait = context.admission.next_dispatch_s(context.simulation.now)
+    context.admission.dispatch(context.simulation.now + wait)
     assert context.order[before:] == [0], context.order[before:]
 
 
@@ -217,7 +223,7 @@
     context.rejected = None
 
 
-@when("one more request comes")
+@when("one more request arrives")
 def one_more(context):
     context.rejected = _offer(context, 2)
 
@@ -225,12 +231,12 @@
 @then("it is rejected at once with the wait for its start")
 def check_rejected(context):
     assert not context.rejected.admitted
-    queued, limit = context.admission.queued, context.play.warm_up
-    assert context.rejected.wait_s >= limit.wait_s(context.play.now, queued) > 0
+    queued, limit = context.admission.queued, context.simulation.warm_up
+    assert context.rejected.wait_s >= limit.wait_s(context.simulation.now, queued) > 0
 
 
 def _offer(context, priority):
-    now = context.play.now
+    now = context.simulation.now
     job = Job(
         priority,
         now + 1.0,
--- a/tests/features/target_link.feature
+++ b/tests/features/target_link.feature
@@ -1,16 +1,17 @@
 Feature: The connections to the target beside the node
 
-  On streams and a clock of the test's own.
+  Uses fake streams and a fake clock.
 
-  Scenario: Kept connections that went silent are given up with the first silent question
-    # All connections hang without a reset, new ones work. Each kept one would cost a request its
-    # time, and a question each would take seconds to find them all.
-    Given a target whose health is asked, with 3 kept connections
+  Scenario: Kept connections that went silent are closed with the first unanswered probe
+    # Guards against requests that time out on one kept connection after the other. All kept
+    # connections hang without a reset, while new ones work. One probe for each of them would take
+    # seconds to find them all.
+    Given a target whose health is probed, with 3 kept connections
     When the kept connections fall silent for 0.3 s
     Then the kept connections are closed
-    And the next question goes over a new connection and the target is not taken for dead
+    And the next probe uses a new connection and the target stays available
 
-  Scenario: A target that answers no question over new connections either is dead
-    Given a target whose health is asked, with 3 kept connections
-    When the target says nothing for 0.8 s
-    Then the target is taken for dead
+  Scenario: A target that answers no probe on new connections either is unavailable
+    Given a target whose health is probed, with 3 kept connections
+    When the target does not respond for 0.8 s
+    Then the target is unavailable
--- a/tests/features/tickets.feature
+++ b/tests/features/tickets.feature
@@ -1,7 +1,7 @@
-Feature: Work under a ticket runs at most once, without the platform's table
+Feature: A request with a ticket runs at most once, without the platform's table
 
   @fixture.orders_deployment
-  Scenario: A ticket runs once, through whichever node it is sent
+  Scenario: A ticket runs once, whichever node it is sent to
     When a ticket for orders is taken at node a1
     And the ticket is used at node a1
     And the ticket is used at node b1
@@ -9,14 +9,14 @@
     And the ticket has run 1 time
 
   @fixture.orders_deployment
-  Scenario: Two callers use one ticket at once, through different nodes
+  Scenario: Two callers use one ticket at once, at different nodes
     When a ticket for orders is taken at node a1
     And the ticket is used at nodes a1 and b1 at once, working 300 ms
     Then all answers are the same, with status 200
     And the ticket has run 1 time
 
   @fixture.orders_deployment
-  Scenario: A ticket works while the platform is out
+  Scenario: A ticket works during an outage of the platform
     Given the table refuses everything
     When a ticket for orders is taken at node a1
     And the ticket is used at node b1
@@ -24,21 +24,22 @@
     And the ticket has run 1 time
 
   @fixture.orders_deployment
-  Scenario: The process that minted the ticket is gone
-    # The ticket's one process is killed while its target works, and a new process takes its
-    # place. The new one knows nothing of the ticket and must not run it.
+  Scenario: The process that minted the ticket has ended
+    # Guards against a ticket that runs twice. The only process that knows it is killed while its
+    # target works, and a new process takes its place. That one knows nothing of the ticket and must
+    # not run it.
     When a ticket for orders is taken at node a1
     And the ticket is used at node a1, working 400 ms, and its node is killed meanwhile
     Then it is refused as OUTCOME_UNKNOWN
-    When the ticket's node is started anew
+    When the ticket's node is started again
     And the ticket is used at node b1 until refused with code 325
     Then it is refused as OUTCOME_UNKNOWN
     And the ticket has run 1 time
 
   @fixture.orders_deployment
-  Scenario: The ticket's node cannot be reached after the work ran
-    # Saying NOT_RUN because this link cannot be opened would be false: the work ran through
-    # another one.
+  Scenario: The ticket's node is unreachable after the request ran
+    # Guards against a false NOT_RUN. That the link to the node cannot be opened does not mean that
+    # the request did not run: it ran through another link.
     When a ticket for orders is taken at node a1
     And the ticket is used at node a1
     And the ticket's node is killed
@@ -47,18 +48,18 @@
     And the ticket has run 1 time
 
   @fixture.orders_deployment
-  Scenario: The entry node dies while the ticket's work runs
+  Scenario: The entry node ends while the ticket's request runs
     When a ticket for orders is taken at node a1
-    And the ticket is begun at node a1, working 500 ms
+    And the ticket is started at node a1, working 500 ms
     And node-a1 is killed
     And the ticket is used at node b1, working 500 ms
     Then it is answered with status 200
     And the ticket has run 1 time
 
   @fixture.orders_deployment
-  Scenario: A caller hangs up and sends its ticket again
+  Scenario: A caller disconnects and sends its ticket again
     When a ticket for orders is taken at node a1
-    And the ticket is begun at node a1, working 500 ms, and its caller hangs up
+    And the ticket is started at node a1, working 500 ms, and its caller disconnects
     And the ticket is used at node b1, working 500 ms
     Then it is answered with status 200
     And the ticket has run 1 time
@@ -73,10 +74,10 @@
     Then it is refused with code 246 and NOT_RUN
     And the ticket has run 1 time
 
-  Scenario: A full record mints nothing and forgets nothing that may run
-    # Room is made only for what is finished or long unused. A forgotten ticket never runs: its
-    # number was minted and is not remembered.
-    Given a ticket book with room for 3 tickets
+  Scenario: A full ticket store mints no tickets and forgets none that may run
+    # Only tickets that are finished or long unused are removed to make room. A forgotten ticket
+    # never runs, because its number was minted but is no longer recorded.
+    Given a ticket store with room for 3 tickets
     When 3 tickets are minted and the first one runs
     Then a fourth ticket is refused with code 245
     When the tickets' age has passed
