--- a/tests/features/retry_budget.feature
+++ b/tests/features/retry_budget.feature
@@ -41,7 +41,7 @@
       | 12    | 25   |
       | 79    | 4    |
 
-  Scenario: Requests refused before they ran are not limited to the share for reruns
+  Scenario: Retries of requests that did not run are not limited to the share for reruns
     Given 12 nodes that each take 20 requests a second for 40 s
     When every request asks for a retry
     Then at least 0.07 of the requests are granted a retry
--- a/tests/features/slot_limit.feature
+++ b/tests/features/slot_limit.feature
@@ -1,7 +1,7 @@
 Feature: The slot limit of a target adapts to how long its requests run
 
   Load pattern: saturation of a target whose last slots slow down all requests, from a point that
-  differs between services. Requests run 60 ms; the load swings by half every five seconds.
+  differs between services. Requests take 60 ms; the load swings by half every five seconds.
 
   Scenario Outline: The limit settles where one more slot would cost more than it gains
     # Guards against a limit at which a target completes fewer requests than it could.
@@ -25,7 +25,7 @@
     Given a target with <slots> slots that slows down by 1.7 beyond <bend>
     When <rate> requests a second come for 40 s
     Then at most 4 in 100 requests ran beyond the limit
-    And it completes in time at least 0.97 times as many requests as with a fixed limit of 0.8
+    And it completes in time at least 0.97 times as many requests as at 0.8 of the slots
 
     Examples:
       | slots | bend | rate |
@@ -36,7 +36,7 @@
   Scenario: The last slots are used if they run at full speed
     Given a target with 8 slots that slows down by 1.7 beyond 8
     When 140 requests a second come for 60 s
-    Then it completes in time at least 1.15 times as many requests as with a fixed limit of 0.8
+    Then it completes in time at least 1.15 times as many requests as at 0.8 of the slots
 
   Scenario: There are no trials at a target with little load
     # Guards against trials of another limit that bring nothing.
@@ -46,7 +46,7 @@
 
   Scenario: A trial of one slot less ends by itself if there are too few requests to judge it
     # Guards against a request that waits for a trial that never ends.
-    Given a limit for 8 slots that has seen 6 requests at once at most
+    Given a limit for 8 slots that has seen at most 6 requests at once
     When a request waits for a slot
     Then 5 requests may run at once
     When 3 s later another request waits for a slot
--- a/tests/features/steps/retry_budget_steps.py
+++ b/tests/features/steps/retry_budget_steps.py
@@ -57,7 +57,7 @@
 
 @when("every request asks for a rerun of {calls:d} calls, where requests make {mean:f} on average")
 def all_ask_for_reruns(context, calls, mean):
-    """Simulate the reruns. The average also counts requests that are refused before any call."""
+    """Simulate the reruns. Requests refused before any call count as zero in the average."""
     context.reruns = []
     context.calls_of_rerun = calls
     context.calls_of_request = mean
--- a/tests/features/steps/roster_steps.py
+++ b/tests/features/steps/roster_steps.py
@@ -77,7 +77,7 @@
     address = context.deployment.nodes[name].callers
     answers = [call(address, "GET", service, f"/{number}") for number in range(count)]
     assert any(answer.status == 200 for answer in answers)
-    # Code 301 would mean that a call waited until its deadline.
+    # A refusal says whether the call ran; code 301 would mean that it waited for its deadline.
     refused = [answer for answer in answers if answer.status != 200]
     assert all(answer.headers["camphorshelf-code"] != "301" for answer in refused), refused
 
--- a/tests/features/steps/slot_limit_steps.py
+++ b/tests/features/steps/slot_limit_steps.py
@@ -36,16 +36,14 @@
     assert trials * 100 <= share * finished, (trials, finished)
 
 
-@then(
-    "it completes in time at least {factor:f} times as many requests as with a fixed limit of 0.8"
-)
+@then("it completes in time at least {factor:f} times as many requests as at 0.8 of the slots")
 def check_in_time(context, factor):
     adaptive = sum(target.in_time for target in context.adaptive)
     fixed = sum(target.in_time for target in context.fixed)
     assert adaptive >= factor * fixed, (adaptive, fixed, adaptive / fixed)
 
 
-@given("a limit for {slots:d} slots that has seen {at_once:d} requests at once at most")
+@given("a limit for {slots:d} slots that has seen at most {at_once:d} requests at once")
 def used_limit(context, slots, at_once):
     context.limit, context.now = SlotLimit(slots), 0.0
     context.limit.consider_trial(context.now)
