--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -43,7 +43,7 @@
     fleet.run(_CALM_SECONDS)
     calm = size * _CALM_SECONDS
     datagrams = sum(fleet.datagrams.values()) / calm
-    sent, far = fleet.bytes / calm, fleet.far_bytes / calm
+    sent, far = fleet.bytes / calm, fleet.cross_domain_bytes / calm
     fleet.kill([1])
     killed_s, _ = _wait(fleet, lambda: _count_dead_views(fleet) == 0)
     numbers = range(0, size, 2)
--- a/tests/features/steps/finding_hosts_steps.py
+++ b/tests/features/steps/finding_hosts_steps.py
@@ -176,7 +176,7 @@
     for number in range(count):
         host = context.fleet.start(number, with_roster=False)
         Discovery(
-            context.fleet.loop, host.settings, context.store, host.peers, host.chance, _Log()
+            context.fleet.loop, host.settings, context.store, host.peers, host.rng, _Log()
         ).start()
 
 
--- a/tests/features/steps/slot_limit_steps.py
+++ b/tests/features/steps/slot_limit_steps.py
@@ -5,15 +5,15 @@
 from behave import given, then, when
 
 from camphorshelf_core.slotlimit import SlotLimit
-from standins.bending import BendingTarget
+from standins.bending import SaturatingTarget
 
 _SEEDS = range(10)
 
 
 @given("a target with {slots:d} slots that slows down by {longer:f} beyond {bend:d}")
 def bending_target(context, slots, longer, bend):
-    context.adaptive = [BendingTarget(slots, bend, longer, True, seed) for seed in _SEEDS]
-    context.fixed = [BendingTarget(slots, bend, longer, False, seed) for seed in _SEEDS]
+    context.adaptive = [SaturatingTarget(slots, bend, longer, True, seed) for seed in _SEEDS]
+    context.fixed = [SaturatingTarget(slots, bend, longer, False, seed) for seed in _SEEDS]
 
 
 @when("{rate:d} requests a second come for {seconds:d} s")
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, targets and callers, for tests, demo and bench."""
+"""Simple implementations of the platform, targets and callers for tests, demo and bench."""
--- a/tests/standins/caller.py
+++ b/tests/standins/caller.py
@@ -1,15 +1,15 @@
-"""Stand-in of a caller: sends HTTP over a plain socket and reads whole answers."""
+"""A test caller that sends HTTP requests over a plain socket and reads whole responses."""
 
 import socket
 from typing import NamedTuple
 
 import httptools
 
-_TIMEOUT = 20.0
+_TIMEOUT_SECONDS = 20.0
 
 
-class Answer(NamedTuple):
-    """What a caller got."""
+class Response(NamedTuple):
+    """One HTTP response."""
 
     status: int
     headers: dict
@@ -17,60 +17,69 @@
 
 
 class Caller:
-    """One caller's connection."""
+    """One connection of a caller.
+
+    :param address: where to connect, as ``IP:PORT``.
+    """
 
     def __init__(self, address):
         host, port = address.split(":")
-        self._socket = socket.create_connection((host, int(port)), timeout=_TIMEOUT)
-        self._data = b""
+        self._socket = socket.create_connection((host, int(port)), timeout=_TIMEOUT_SECONDS)
+        self._unread = b""
 
     def send(self, data):
         """Send raw bytes."""
         self._socket.sendall(data)
 
     def request(self, method, service, path, headers=(), body=b""):
-        """Send a request and read its answer."""
+        """Send a request and return its :class:`Response`."""
         self.send(render(method, service, path, headers, body))
         return self.read(method)
 
     def read(self, method="GET"):
-        """Read one answer; raises EOFError when the connection ends first."""
-        reader = _Reader(method)
-        while not reader.done:
-            if not self._data:
-                self._data = self._socket.recv(65_536)
-                if not self._data:
-                    raise EOFError("the connection ended before the answer")
-            self._data = reader.feed(self._data)
-        return reader.answer()
+        """Return the next :class:`Response`.
+
+        :raises EOFError: when the connection is closed before the response is complete.
+        """
+        parser = _ResponseParser(method)
+        while not parser.done:
+            if not self._unread:
+                self._unread = self._socket.recv(65_536)
+                if not self._unread:
+                    raise EOFError("the connection was closed before the response was complete")
+            self._unread = parser.feed(self._unread)
+        return parser.response()
 
     def at_end(self):
-        """Tell whether the other side has closed the connection."""
-        return not self._data and self._socket.recv(1) == b""
+        """Wait for data or the end of the connection; return whether the peer has closed it."""
+        return not self._unread and self._socket.recv(1) == b""
 
     def close(self):
         """Close the connection."""
         self._socket.close()
 
 
-class AnswerReader:
-    """Reads answers out of bytes that are already there."""
+class ResponseReader:
+    """Reads responses from bytes that were already received."""
 
     def __init__(self, data):
-        self.left = data
+        self.remaining = data
 
     def read(self, method="GET"):
-        """Read one answer; raises EOFError when the bytes end first."""
-        reader = _Reader(method)
-        while self.left and not reader.done:
-            self.left = reader.feed(self.left)
-        if not reader.done:
-            raise EOFError("the bytes end before the answer")
-        return reader.answer()
+        """Return the next :class:`Response`.
+
+        :raises EOFError: when the bytes end before the response is complete.
+        """
+        parser = _ResponseParser(method)
+        while self.remaining and not parser.done:
+            self.remaining = parser.feed(self.remaining)
+        if not parser.done:
+            raise EOFError("the bytes end before the response is complete")
+        return parser.response()
 
 
-class _Reader:
-    """Reads one answer byte-exactly, so that the next one stays unread."""
+class _ResponseParser:
+    """Parses one response and returns the bytes behind it, which belong to the next one."""
 
     def __init__(self, method):
         self._method = method
@@ -93,9 +102,9 @@
             if self._parser.get_status_code() == 100:
                 self.done = True
             return data
-        wanted = self._length() - sum(map(len, self._body))
-        self._parser.feed_data(data[:wanted])
-        return data[wanted:]
+        missing = self._length() - sum(map(len, self._body))
+        self._parser.feed_data(data[:missing])
+        return data[missing:]
 
     def _length(self):
         return int(self._headers.get("content-length", 0))
@@ -109,8 +118,8 @@
     def on_message_complete(self):
         self.done = True
 
-    def answer(self):
-        return Answer(self._parser.get_status_code(), self._headers, b"".join(self._body))
+    def response(self):
+        return Response(self._parser.get_status_code(), self._headers, b"".join(self._body))
 
 
 def render(method, service, path, headers=(), body=b""):
@@ -123,7 +132,7 @@
 
 
 def call(address, method, service, path, headers=(), body=b""):
-    """Make one call over a connection of its own."""
+    """Send one request over a new connection and return its :class:`Response`."""
     caller = Caller(address)
     try:
         return caller.request(method, service, path, headers, body)
--- a/tests/standins/deployment.py
+++ b/tests/standins/deployment.py
@@ -1,4 +1,4 @@
-"""Starts a platform, nodes and targets as separate processes on loopback and ends them."""
+"""Runs a platform, nodes and targets as separate processes on loopback."""
 
 import json
 import random
@@ -14,7 +14,7 @@
 
 
 class NodePlan(NamedTuple):
-    """A node to start and the target beside it (no service: none)."""
+    """A node to start and the target on the same host; without a service there is no target."""
 
     name: str
     service: str | None = None
@@ -25,7 +25,7 @@
 
 
 class RunningNode(NamedTuple):
-    """Where a started node listens."""
+    """The addresses of a started node and of its target, as ``IP:PORT``."""
 
     name: str
     callers: str
@@ -35,20 +35,25 @@
 
 
 class Deployment(Processes):
-    """The processes of one small deployment."""
+    """The processes of one small deployment.
+
+    :param plans: a :class:`NodePlan` for each node.
+    :param log_level: the log level of the nodes.
+    :param node_paths: directories that precede the tests on the Python path of the processes.
+    """
 
     def __init__(self, plans, log_level="WARNING", node_paths=()):
         super().__init__(node_paths)
         self._log_level = log_level
         self._plans = {plan.name: plan for plan in plans}
         self._nodes = {}
-        self._host = _loopback()
-        self._given = set()
-        self.platform = self._find_address()
+        self._ip = _choose_loopback_ip()
+        self._used_addresses = set()
+        self.platform = self._reserve_address()
         try:
             self._start_all(plans)
         except BaseException:
-            # Whoever started it has nothing to close yet; the processes would stay for ever.
+            # The caller has no object to close yet, so the processes would never be ended.
             self.close()
             raise
 
@@ -56,50 +61,50 @@
         self._start("platform", [sys.executable, "-m", "standins.platform", self.platform])
         self._wait(self.platform)
         for plan in plans:
-            self._plan(plan)
+            self._add_plan(plan)
         try:
             for plan in plans:
                 self.start_node(plan.name)
                 self.start_target(plan.name)
         except BaseException:
-            # Nobody else has a hold of what was started so far; it would run on for ever.
+            # The caller has no object to close yet, so the processes would never be ended.
             self.close()
             raise
 
     @property
     def nodes(self):
-        """The started nodes by name."""
+        """The :class:`RunningNode` of each node by name."""
         return self._nodes
 
     def add(self, plan):
         """Start one more node and its target."""
-        self._plan(plan)
+        self._add_plan(plan)
         self.start_node(plan.name)
         self.start_target(plan.name)
 
     def replace(self, name, service):
-        """Start a node and a target of another service at the addresses of a dead host."""
+        """Start a node and a target of another service at the addresses of a killed host."""
         self._plans[name] = self._plans[name]._replace(service=service)
         self.start_node(name)
         self.start_target(name)
 
     def change_settings(self, name, **sections):
-        """Give a node other sections of settings from its next start on."""
+        """Change sections of a node's settings; they apply from its next start."""
         plan = self._plans[name]
         self._plans[name] = plan._replace(settings={**plan.settings, **sections})
 
     def start_node(self, name):
-        """Start a node, or start it again at the same addresses."""
+        """Start a node, or restart it at the same addresses."""
         plan, node = self._plans[name], self._nodes[name]
         path = self.directory / f"{name}.json"
-        path.write_text(json.dumps(self._settings(plan, node), indent=1))
+        path.write_text(json.dumps(self._make_settings(plan, node), indent=1))
         command = [sys.executable, "-m", "camphorshelf_node", "--settings", str(path)]
         self._start(f"node-{name}", [*command, "--log-level", self._log_level])
         self._wait(node.admin)
         self._wait(node.callers)
 
     def start_target(self, name):
-        """Start the target beside a node."""
+        """Start the target of a node, if it has one."""
         plan, node = self._plans[name], self._nodes[name]
         if plan.service is None:
             return
@@ -117,7 +122,7 @@
         self._wait(node.target)
 
     def wait_served(self, name, service):
-        """Wait until a node serves calls to a service."""
+        """Wait until a node answers calls to a service with status 200."""
         address = self._nodes[name].callers
         self.wait_until(lambda: call(address, "GET", service, "/ready").status == 200)
 
@@ -126,37 +131,37 @@
         call(self.platform, "POST", "platform", "/_faults", body=json.dumps(faults).encode())
 
     def release(self):
-        """Let the platform go on with every write and answer that it holds."""
+        """Make the platform continue with every write and response that it holds back."""
         call(self.platform, "POST", "platform", "/_release")
 
     def counts(self):
-        """The platform's counts of reads, writes and what it holds."""
+        """Return the platform's counts of reads, rows, writes and held operations by name."""
         return json.loads(call(self.platform, "GET", "platform", "/_counts").body)
 
     def runs(self, name):
-        """How often the target beside a node ran each key."""
+        """Return how often the running target of a node has run each key."""
         address = self._nodes[name].target
         return json.loads(call(address, "GET", "target", "/_runs").body)
 
     def all_runs(self):
-        """How often each key ran at any target, those that are dead by now included."""
+        """Return how often each key has run at all targets, including those that have ended."""
         journal = self.directory / "runs.log"
         return Counter(journal.read_text().split()) if journal.exists() else Counter()
 
-    def _plan(self, plan):
+    def _add_plan(self, plan):
         self._plans[plan.name] = plan
-        addresses = [self._find_address() for _ in range(4)]
+        addresses = [self._reserve_address() for _ in range(4)]
         self._nodes[plan.name] = RunningNode(plan.name, *addresses)
 
-    def _find_address(self):
-        # Ports are free until their process starts: with 160 of them drawn from a few thousand
-        # two nodes would often be given the same one.
-        while (address := _address(self._host)) in self._given:
+    def _reserve_address(self):
+        # A port stays free until its process starts. With 160 ports chosen at random from a few
+        # thousand, two nodes would often get the same one.
+        while (address := _choose_address(self._ip)) in self._used_addresses:
             continue
-        self._given.add(address)
+        self._used_addresses.add(address)
         return address
 
-    def _settings(self, plan, node):
+    def _make_settings(self, plan, node):
         settings = {
             "name": plan.name,
             "failure_domain": plan.failure_domain,
@@ -166,18 +171,19 @@
         return {**settings, **plan.settings}
 
 
-def _loopback():
-    """Pick an address of the loopback range that no other deployment has at this time.
+def _choose_loopback_ip():
+    """Choose a random IP address of the loopback range, which no other deployment uses.
 
-    Several tests run at once, and a port that is free when it is picked may be another test's by
-    the time the process listens on it: its callers are refused or reach the wrong node.
+    Several tests run at once. If they shared an IP address, a port that is free when it is chosen
+    could belong to another test by the time the process listens on it; callers would then be
+    refused or reach the wrong node.
     """
-    numbers = random.SystemRandom()
-    return ".".join(["127", *(str(numbers.randrange(1, 255)) for _ in range(3))])
+    rng = random.SystemRandom()
+    return ".".join(["127", *(str(rng.randrange(1, 255)) for _ in range(3))])
 
 
-def _address(host):
-    # Below the range from which the kernel takes the ports of outgoing connections.
+def _choose_address(host):
+    # The ports are below the range that the kernel uses for outgoing connections.
     while True:
         port = random.SystemRandom().randrange(*_PORTS)
         if _is_free(host, port, socket.SOCK_STREAM) and _is_free(host, port, socket.SOCK_DGRAM):
--- a/tests/standins/edge.py
+++ b/tests/standins/edge.py
@@ -1,18 +1,18 @@
-"""A caller's connection on a fake stream, with a node that answers when it is told to."""
+"""A caller's connection on a fake stream; the test answers its requests itself."""
 
 from camphorshelf_core.settings import LimitSettings
 from camphorshelf_node.filters import make_chain, make_deadline_filter
 from camphorshelf_node.http import HttpConnection
 
-from .caller import AnswerReader
+from .caller import ResponseReader
 from .fakes import FakeLoop, FakeStream
 
 
 def connect(context, failing=0, may_overlap=None, **limits):
-    """Open a caller's connection and keep all that comes of it in the context.
+    """Open a caller's connection and store it and its exchanges in the context.
 
     :param context: behave's context.
-    :param failing: how many of the first requests fail inside the node.
+    :param failing: how many of the first requests raise an exception in their handler.
     :param may_overlap: as for :class:`HttpConnection`.
     :param limits: fields of :class:`LimitSettings`.
     :return: None.
@@ -21,13 +21,13 @@
     context.faults, context.cancelled, context.answered = [], [], 0
     limits = LimitSettings(**limits)
 
-    def take(exchange):
+    def handle(exchange):
         context.exchanges.append(exchange)
         if len(context.exchanges) <= failing:
             raise RuntimeError("a fault for this test")
         exchange.when_hung_up(lambda: context.cancelled.append(exchange))
 
-    chain = make_chain([make_deadline_filter(limits, context.loop)], take)
+    chain = make_chain([make_deadline_filter(limits, context.loop)], handle)
     context.connection = HttpConnection(
         context.stream,
         limits,
@@ -39,14 +39,14 @@
 
 
 def read_answers(context, method="GET"):
-    """Read all that the caller was sent.
+    """Read all responses that were sent to the caller.
 
     :param context: behave's context.
     :param method: the method of the requests.
-    :return: a list of answers.
+    :return: a list of :class:`~standins.caller.Response`.
     """
-    reader = AnswerReader(context.stream.sent)
-    answers = []
-    while reader.left:
-        answers.append(reader.read(method))
-    return answers
+    reader = ResponseReader(context.stream.sent)
+    responses = []
+    while reader.remaining:
+        responses.append(reader.read(method))
+    return responses
--- a/tests/standins/fakes.py
+++ b/tests/standins/fakes.py
@@ -1,22 +1,22 @@
-"""Fakes of the node's loop and streams, on which every moment is chosen by the test."""
+"""Fakes of the node's event loop and streams; the test controls their clock and their data."""
 
 import heapq
 import itertools
 
 
 class FakeTimer:
-    """A callback that is due at a moment of the fake clock."""
+    """A callback scheduled on the fake clock."""
 
     def __init__(self, callback):
         self.callback = callback
 
     def cancel(self):
-        """Keep the callback from being called."""
+        """Cancel the callback."""
         self.callback = None
 
 
 class FakeLoop:
-    """A scheduler whose clock moves only when told."""
+    """An event loop whose clock moves only in :meth:`advance`."""
 
     def __init__(self):
         self._now = 1_000.0
@@ -24,17 +24,17 @@
         self._order = itertools.count()
 
     def now(self):
-        """The fake clock."""
+        """Return the fake clock's time in seconds."""
         return self._now
 
     def call_later(self, seconds, callback):
-        """Keep a callback until its moment."""
+        """Schedule a callback and return its :class:`FakeTimer`."""
         timer = FakeTimer(callback)
         heapq.heappush(self._timers, (self._now + seconds, next(self._order), timer))
         return timer
 
     def call_every(self, seconds, callback):
-        """Keep a callback that runs again and again."""
+        """Schedule a callback to run at a fixed interval."""
 
         def run():
             self.call_later(seconds, run)
@@ -43,7 +43,7 @@
         self.call_later(seconds, run)
 
     def advance(self, seconds):
-        """Move the clock on and run what falls due, in order."""
+        """Advance the clock and run the callbacks that become due, in order."""
         end = self._now + seconds
         while self._timers and self._timers[0][0] <= end:
             self._now, _, timer = heapq.heappop(self._timers)
@@ -54,7 +54,11 @@
 
 
 class FakeStream:
-    """The node's side of a connection; the test plays the other side."""
+    """The node's side of a connection; the test acts as the peer.
+
+    ``takes`` tells whether the peer accepts data, and ``unsent`` counts the bytes that it has not
+    accepted yet.
+    """
 
     def __init__(self):
         self.sent = b""
@@ -67,10 +71,10 @@
         self.on_data = self.on_close = self.on_drain = self.on_connect = None
 
     def open(self):
-        """Start to read."""
+        """Start reading; the fake needs nothing for it."""
 
     def write(self, data):
-        """Send, or keep when the other side takes nothing."""
+        """Send data; while the peer accepts nothing, also count it as unsent."""
         self.sent += data
         if not self.takes:
             self.unsent += len(data)
@@ -80,11 +84,11 @@
         self.paused = True
 
     def resume(self):
-        """Read again."""
+        """Resume reading."""
         self.paused = False
 
     def close_when_sent(self):
-        """Close behind what was written."""
+        """Record that the stream is to be closed once all data has been sent."""
         self.ending = True
 
     def close(self):
@@ -95,7 +99,7 @@
                 self.on_close()
 
     def drain(self):
-        """Let the other side take all that was kept."""
+        """Let the peer accept all unsent data, and call ``on_drain``."""
         self.unsent = 0
         self.takes = True
         if self.on_drain is not None:
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Many nodes' peers in one process, on a fake clock and a fake network."""
+"""A fleet of hosts in one process, on a fake clock and a fake network."""
 
 import random
 from collections import Counter
@@ -15,11 +15,11 @@
 
 class _Log:
     def notable(self, event, **fields):
-        """Take no note."""
+        """Discard the event."""
 
 
 class Host:
-    """One host: its peers and what its status says."""
+    """One host: its :class:`Peers` and the status that it sends."""
 
     def __init__(self, fleet, number, domains):
         self.ip = f"10.{number // 200}.0.{number % 200 + 1}"
@@ -46,13 +46,19 @@
             push_interval_s=0.0,
         )
         self.settings = settings
-        self.chance = chance = random.Random(f"{fleet.seed}-{number}-{fleet.loop.now()}")
-        self.peers = Peers(fleet.loop, settings, lambda: self.status, _Log(), chance)
+        self.rng = rng = random.Random(f"{fleet.seed}-{number}-{fleet.loop.now()}")
+        self.peers = Peers(fleet.loop, settings, lambda: self.status, _Log(), rng)
         self.peers._datagrams = SimpleNamespace(send=lambda ip, data: fleet.send(self, data, ip))
 
 
 class Fleet:
-    """Hosts whose datagrams take a moment, are lost or are cut off."""
+    """Hosts whose datagrams are delayed, lost or cut off.
+
+    :param count: how many hosts there are.
+    :param domains: over how many failure domains they are spread.
+    :param loss: the probability that a datagram is lost.
+    :param seed: the seed of the random numbers.
+    """
 
     def __init__(self, count, domains=5, loss=0.0, seed=1):
         self.loop = FakeLoop()
@@ -62,40 +68,40 @@
         self._random = random.Random(seed)
         self.datagrams = Counter()
         self.bytes = 0
-        self.far_bytes = 0
+        self.cross_domain_bytes = 0
         self.is_cut = lambda source, target: False
         self.hosts = {}
         for number in range(count):
             self.start(number)
 
     def start(self, number, with_roster=True):
-        """Start a host, or the next process of one; it reads the rows of all hosts."""
-        before = self.hosts.get(number)
-        if before is not None:
-            before.is_up = False
+        """Start a host, or replace its process; with the roster it learns all addresses."""
+        previous = self.hosts.get(number)
+        if previous is not None:
+            previous.is_up = False
         host = self.hosts[number] = Host(self, number, self._domains)
         self._by_ip = {one.ip: one for one in self.hosts.values()}
         host.peers.start_timers()
         if with_roster:
-            self.loop.call_later(0.02, lambda: self._learn(host))
+            self.loop.call_later(0.02, lambda: self._add_all_addresses(host))
         return host
 
     def kill(self, numbers):
-        """End the processes of hosts without a word."""
+        """End the processes of hosts without notice to the others."""
         for number in numbers:
             self.hosts[number].is_up = False
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the clock by some seconds."""
         self.loop.advance(seconds)
 
     def reset_counts(self):
-        """Count datagrams and bytes anew."""
+        """Set the counts of datagrams and bytes to zero."""
         self.datagrams.clear()
-        self.bytes = self.far_bytes = 0
+        self.bytes = self.cross_domain_bytes = 0
 
     def send(self, source, data, ip):
-        """Bring a datagram to the host with an IP address."""
+        """Send a datagram to the host with an IP address."""
         if not source.is_up:
             return
         target = self._by_ip.get(ip)
@@ -105,18 +111,18 @@
         if target is None:
             return
         if target.domain != source.domain:
-            self.far_bytes += size
+            self.cross_domain_bytes += size
         if self.is_cut(source, target) or self._random.random() < self._loss:
             return
 
-        def arrive():
+        def deliver():
             if target.is_up and self._by_ip.get(ip) is target:
                 target.peers.receive(data, source.ip)
 
-        self.loop.call_later(_ONE_WAY_SECONDS, arrive)
+        self.loop.call_later(_ONE_WAY_SECONDS, deliver)
 
     def live_views(self, host):
-        """List the addresses that a host takes for live and sound."""
+        """Return the addresses of the hosts that a host considers live and not silent."""
         now = self.loop.now()
         return {
             view.status.address
@@ -125,8 +131,8 @@
         }
 
     def up(self):
-        """List the hosts that run."""
+        """Return the hosts that run."""
         return [host for host in self.hosts.values() if host.is_up]
 
-    def _learn(self, host):
+    def _add_all_addresses(self, host):
         host.peers.add_addresses([one.address for one in self.hosts.values()])
--- a/tests/standins/gate_histories.py
+++ b/tests/standins/gate_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of a gate, checked against what its callers were told."""
+"""Random histories of a gate, checked against a model of its calls and their outcomes."""
 
 import random
 
@@ -13,20 +13,20 @@
 
 
 class GateHistory(RuleBasedStateMachine):
-    """Offers, ends, cancels, expires, announces anew and leaves, in any order."""
+    """Offers, finishes, cancels and expires calls and changes or closes the gate, in any order."""
 
-    parts = POLICIES["ours"]
+    policy = POLICIES["ours"]
 
     def __init__(self):
         super().__init__()
         self.now = 0.0
         self.slots = 3
-        self.allowed = 3
+        self.max_running = 3
         self.leaving = False
-        self.gate = Gate(self.slots, random.Random(1), self.parts)
+        self.gate = Gate(self.slots, random.Random(1), self.policy)
         self.waiting = []
         self.running = []
-        self.told = {}
+        self.outcomes = {}
 
     @rule(
         caller=st.sampled_from("abcd"),
@@ -38,46 +38,46 @@
     def offer(self, caller, team, call_class, kind, left):
         def start():
             assert not self.leaving, "a call started at a closed gate"
-            assert ticket.deadline > self.now, "a call started after its deadline"
-            self._tell(ticket, "started")
-            self.running.append(ticket)
-            assert len(self.running) <= self.allowed, "more calls than slots"
+            assert pending_call.deadline > self.now, "a call started after its deadline"
+            self._record_outcome(pending_call, "started")
+            self.running.append(pending_call)
+            assert len(self.running) <= self.max_running, "more calls run than there are slots"
 
         def refuse(_refusal):
-            self._tell(ticket, "refused")
+            self._record_outcome(pending_call, "refused")
 
-        ticket = PendingCall(self.now + left, start, refuse, call_class, caller, team, kind)
-        self.waiting.append(ticket)
-        self.gate.offer(ticket, self.now)
+        pending_call = PendingCall(self.now + left, start, refuse, call_class, caller, team, kind)
+        self.waiting.append(pending_call)
+        self.gate.offer(pending_call, self.now)
 
     @rule(pick=st.randoms(use_true_random=False), served=st.booleans())
     def finish(self, pick, served):
         if self.running:
-            ticket = self.running.pop(pick.randrange(len(self.running)))
-            self._shrink()
-            self.gate.finish(ticket, self.now, served)
+            pending_call = self.running.pop(pick.randrange(len(self.running)))
+            self._limit_running()
+            self.gate.finish(pending_call, self.now, served)
 
     @rule(pick=st.randoms(use_true_random=False))
     def cancel(self, pick):
-        tickets = self.waiting + self.running
-        if tickets:
-            ticket = pick.choice(tickets)
-            (self.running if ticket in self.running else self.waiting).remove(ticket)
-            self._shrink()
-            self.told[ticket] = "cancelled"
-            self.gate.cancel(ticket, self.now)
+        pending_calls = self.waiting + self.running
+        if pending_calls:
+            pending_call = pick.choice(pending_calls)
+            (self.running if pending_call in self.running else self.waiting).remove(pending_call)
+            self._limit_running()
+            self.outcomes[pending_call] = "cancelled"
+            self.gate.cancel(pending_call, self.now)
 
     @rule(seconds=st.floats(0, 0.5))
     def expire(self, seconds):
         self.now += seconds
         self.gate.expire(self.now)
         due = self.gate.next_expiry()
-        assert due is None or due > self.now, "late work is still in line"
+        assert due is None or due > self.now, "an expired call is still queued"
 
     @rule(slots=st.integers(0, 5))
     def announce(self, slots):
         self.slots = slots
-        self._shrink()
+        self._limit_running()
         self.gate.resize(slots, self.now)
 
     @rule()
@@ -89,7 +89,7 @@
         self.leaving = leaving
         if leaving:
             self.gate.close(Refusal(Code.TARGET_LEAVING, "leaves"))
-            assert not self.waiting, "a call waits at a closed gate"
+            assert not self.waiting, "a call is queued at a closed gate"
         else:
             self.gate.open()
 
@@ -102,20 +102,28 @@
     @invariant()
     def no_slot_is_lost(self):
         if not self.running:
-            assert not self.waiting or self.slots == 0, "a call waits at an idle target"
+            assert not self.waiting or self.slots == 0, "a call is queued at an idle target"
 
-    def _shrink(self):
-        # Calls that ran when the slots became fewer may end; no new one may join them.
-        self.allowed = max(self.slots, len(self.running))
+    def _limit_running(self):
+        # When the number of slots falls, the running calls may finish, but none may start.
+        self.max_running = max(self.slots, len(self.running))
 
-    def _tell(self, ticket, what):
-        assert ticket not in self.told, f"{what} after {self.told.get(ticket)}"
-        self.told[ticket] = what
-        self.waiting.remove(ticket)
+    def _record_outcome(self, pending_call, outcome):
+        assert (
+            pending_call not in self.outcomes
+        ), f"{outcome} after {self.outcomes.get(pending_call)}"
+        self.outcomes[pending_call] = outcome
+        self.waiting.remove(pending_call)
 
 
 def run_histories(count, machine=GateHistory):
-    """Play a fixed set of random histories; raises AssertionError with the shortest that fails."""
+    """Run a fixed set of random histories.
+
+    :param count: how many histories.
+    :param machine: the state machine.
+    :return: None.
+    :raises AssertionError: with the shortest failing history.
+    """
     options = settings(
         max_examples=count,
         stateful_step_count=_STEPS,
--- a/tests/standins/gate_play.py
+++ b/tests/standins/gate_play.py
@@ -1,4 +1,4 @@
-"""Plays a load against one gate on a clock of its own, without sockets or sleeping."""
+"""Simulates a load on one gate, on a simulated clock and without sockets."""
 
 import heapq
 import itertools
@@ -10,7 +10,7 @@
 
 
 class Call(NamedTuple):
-    """One call to play; ``work`` is its time on a free host, all times in seconds."""
+    """One call: when it comes, its run time at an idle target and its deadline, in seconds."""
 
     at: float
     caller: str = "clerk"
@@ -22,7 +22,7 @@
 
 
 class Outcome(NamedTuple):
-    """What the caller of one call got, and when (``code`` None: served)."""
+    """The outcome of one call and when its caller learned it; ``code`` is None if it was served."""
 
     call: Call
     code: Code | None
@@ -31,46 +31,52 @@
 
     @property
     def seconds(self):
-        """How long the caller waited for its answer."""
+        """How long the caller waited, in seconds."""
         return self.at - self.call.at
 
 
 class GatePlay:
-    """A gate, its target and a clock; the target shares its cores among the running calls."""
+    """A gate and its target on a simulated clock; the running calls share the target's cores.
 
-    def __init__(self, parts, slots=10, cores=None, team_weights=None):
-        self.gate = Gate(slots, random.Random(1), parts, team_weights)
+    :param policy: the gate's admission policy.
+    :param slots: how many calls the target announces that it can process at once.
+    :param cores: a function from a moment to the number of cores; as many as slots if None.
+    :param team_weights: the weight of each team in the queue.
+    """
+
+    def __init__(self, policy, slots=10, cores=None, team_weights=None):
+        self.gate = Gate(slots, random.Random(1), policy, team_weights)
         self.outcomes = []
         self.now = 0.0
         self.peak = 0
         self._cores = cores or (lambda now: slots)
         self._events = []
         self._order = itertools.count()
-        self._armed = False
+        self._is_expiry_scheduled = False
 
     def play(self, calls):
-        """Play calls to the end and give their outcomes in the order they ended."""
+        """Run all calls and return their outcomes in the order in which they ended."""
         for call in calls:
             self._at(call.at, lambda call=call: self._offer(call))
         while self._events:
             self.now, _, event = heapq.heappop(self._events)
             event()
             self.peak = max(self.peak, self.gate.in_flight)
-            self._wake()
-        assert len(self.outcomes) == len(calls), "each call gets one answer"
+            self._schedule_expiry()
+        assert len(self.outcomes) == len(calls), "a call has no outcome or more than one"
         return self.outcomes
 
     def _at(self, when, event):
         heapq.heappush(self._events, (when, next(self._order), event))
 
-    def _wake(self):
-        due = self.gate.next_expiry()
-        if due is not None and not self._armed:
-            self._armed = True
-            self._at(max(due, self.now), self._expire)
+    def _schedule_expiry(self):
+        expires_at = self.gate.next_expiry()
+        if expires_at is not None and not self._is_expiry_scheduled:
+            self._is_expiry_scheduled = True
+            self._at(max(expires_at, self.now), self._expire)
 
     def _expire(self):
-        self._armed = False
+        self._is_expiry_scheduled = False
         self.gate.expire(self.now)
 
     def _offer(self, call):
@@ -79,14 +85,14 @@
             self._at(self.now + call.work / share, finish)
 
         def finish():
-            self.gate.finish(ticket, self.now)
+            self.gate.finish(pending_call, self.now)
             self.outcomes.append(Outcome(call, None, self.now))
 
         def refuse(refusal):
             outcome = Outcome(call, refusal.code, self.now, refusal.retry_after_ms)
             self.outcomes.append(outcome)
 
-        ticket = PendingCall(
+        pending_call = PendingCall(
             call.at + call.deadline,
             start,
             refuse,
@@ -95,33 +101,34 @@
             call.team,
             call.kind,
         )
-        self.gate.offer(ticket, self.now)
+        self.gate.offer(pending_call, self.now)
 
 
 def poisson(rate, seconds, seed, **fields):
-    """Draw calls at random moments.
+    """Make calls that arrive as a Poisson process.
 
-    :param rate: calls a second.
+    :param rate: the mean number of calls per second.
     :param seconds: for how long.
-    :param seed: of the random numbers.
-    :param fields: the other fields of each :class:`Call`; callables are called for each.
+    :param seed: the seed of the random numbers.
+    :param fields: the other fields of each :class:`Call`; a callable is called with the random
+        numbers to give the value for each call.
     :return: a list of calls.
     """
-    source = random.Random(seed)
-    calls, at = [], source.expovariate(rate)
+    rng = random.Random(seed)
+    calls, at = [], rng.expovariate(rate)
     while at < seconds:
-        drawn = {key: one(source) if callable(one) else one for key, one in fields.items()}
-        calls.append(Call(at, **drawn))
-        at += source.expovariate(rate)
+        values = {key: one(rng) if callable(one) else one for key, one in fields.items()}
+        calls.append(Call(at, **values))
+        at += rng.expovariate(rate)
     return calls
 
 
 def served(outcomes):
-    """Keep the outcomes that are answers of the target."""
+    """Return the outcomes of the calls that the target answered."""
     return [one for one in outcomes if one.code is None]
 
 
-def percentile(values, part):
-    """Give the value below which a part of the values lie."""
+def percentile(values, share):
+    """Return the value below which a share of the values lie; 0.0 if there are none."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(len(ordered) * part))] if ordered else 0.0
+    return ordered[min(len(ordered) - 1, int(len(ordered) * share))] if ordered else 0.0
--- a/tests/standins/hosts.py
+++ b/tests/standins/hosts.py
@@ -1,16 +1,16 @@
-"""Statuses of hosts that tests make up."""
+"""Statuses and views of hosts with default values for tests."""
 
 from camphorshelf_core.hosts import HostStatus, HostView
 
 
 def make_status(name, **changes):
-    """Make a host's status with usual figures.
+    """Make a host's status with default values.
 
     :param name: the host's name, which is its address too.
-    :param changes: the fields that differ.
+    :param changes: the fields that differ from the defaults.
     :return: the :class:`HostStatus`.
     """
-    usual = HostStatus(
+    defaults = HostStatus(
         host=name,
         incarnation="i1",
         sequence=1,
@@ -31,14 +31,14 @@
         revision=1,
         push_interval_s=0.2,
     )
-    return usual._replace(**changes)
+    return defaults._replace(**changes)
 
 
 def make_view(status, heard_at=0.0):
-    """Make the view of a host that was heard once.
+    """Make the view of a host from which one status was received.
 
     :param status: its :class:`HostStatus`.
-    :param heard_at: when it was heard.
+    :param heard_at: when the status was received, in seconds.
     :return: the :class:`HostView`.
     """
     view = HostView()
--- a/tests/standins/inner.py
+++ b/tests/standins/inner.py
@@ -1,4 +1,4 @@
-"""Runs parts of a node inside a test's own process, on a loop of their own."""
+"""Runs parts of a node in the process of the test, on a separate event loop."""
 
 import time
 from threading import Lock
@@ -7,27 +7,33 @@
 
 from camphorshelf_node.loop import Loop
 
-_SECONDS = 20.0
+_TIMEOUT_SECONDS = 20.0
 _POLL_SECONDS = 0.005
 
 
 class InnerLoop:
-    """A node's loop that turns only while a test waits for something."""
+    """A node's event loop that runs only while a test waits for something."""
 
     def __init__(self):
         self.loop = Loop()
 
-    def run_until(self, condition, seconds=_SECONDS):
-        """Turn the loop until a condition holds; raises TimeoutError when it does not."""
+    def run_until(self, condition, seconds=_TIMEOUT_SECONDS):
+        """Run the loop until a condition holds.
+
+        :param condition: a function that tells whether it holds.
+        :param seconds: the timeout.
+        :return: None.
+        :raises TimeoutError: when the condition does not hold in time.
+        """
         end = time.monotonic() + seconds
         while not condition():
             if time.monotonic() > end:
-                raise TimeoutError("the condition did not come to hold")
+                raise TimeoutError(f"the condition did not hold within {seconds} s")
             self.loop._generate_events(generate_events(Lock(), _POLL_SECONDS))
 
     def ask(self, start, *args, **options):
-        """Call a function that answers by callback and wait for the answer."""
-        answers = []
-        start(*args, on_done=answers.append, **options)
-        self.run_until(lambda: answers)
-        return answers[0]
+        """Call a function that takes an ``on_done`` callback and return the callback's argument."""
+        results = []
+        start(*args, on_done=results.append, **options)
+        self.run_until(lambda: results)
+        return results[0]
--- a/tests/standins/mesh.py
+++ b/tests/standins/mesh.py
@@ -1,4 +1,4 @@
-"""Many memberships in one process with a fake clock and a fake network, for tests and slopes."""
+"""Many members of a roster in one process, on a fake clock and a fake network."""
 
 import random
 from collections import deque
@@ -12,7 +12,11 @@
 
 
 class Mesh:
-    """Members ``m0`` to ``mN`` whose datagrams arrive at once, are lost or are cut off."""
+    """Members ``m0`` to ``mN`` whose datagrams arrive without delay, are lost or are cut off.
+
+    ``seen`` holds the members that each member was notified of, and ``heard`` when each member
+    received each entry, by topic and key.
+    """
 
     def __init__(self, count, seed, loss=0.0, domains=3, settings=None):
         self._random = random.Random(seed)
@@ -32,7 +36,7 @@
             self.start(f"m{index}")
 
     def start(self, name):
-        """Start a member, or one that replaces it at the same address."""
+        """Start a member, or replace it by a new generation at the same address."""
         self._generation += 1
         own = Member(
             node=name,
@@ -59,13 +63,13 @@
         )
 
     def join(self, name, through):
-        """Let a started member take a snapshot of another and introduce itself."""
+        """Let a started member load a snapshot of another member and ping it."""
         snapshot = self.members[through].make_snapshot(0)
         self.deliver(name, self.members[name].load_snapshot(snapshot, self.now))
         self.deliver(name, self.members[name].ping_address(through, self.now))
 
     def join_all(self):
-        """Let all members know all others."""
+        """Let all members load a snapshot that lists all members."""
         first = self.members["m0"]
         for member in self.members.values():
             first.load_snapshot(member.make_snapshot(0), self.now)
@@ -74,34 +78,40 @@
             member.load_snapshot(snapshot, self.now)
 
     def freeze(self, name):
-        """Stop a member as SIGSTOP or a failed host would."""
+        """Stop a member, as SIGSTOP or a failed host does."""
         self._frozen.add(name)
 
     def wake(self, name):
-        """Let a frozen member go on."""
+        """Resume a frozen member."""
         self._frozen.discard(name)
 
     def cut(self, reachable):
-        """Set which member's datagrams reach which."""
+        """Set the function that tells whether datagrams of a source reach a target."""
         self._reachable = reachable
 
     def run(self, seconds, until=None):
-        """Let time pass; gives the seconds that went by until the condition held."""
+        """Advance the clock.
+
+        :param seconds: for how long at most.
+        :param until: a condition that ends the run early; None for none.
+        :return: the seconds that passed.
+        :raises TimeoutError: when the condition does not hold in time.
+        """
         end = self.now + seconds
-        started = self.now
+        started_at = self.now
         while self.now < end:
             if until is not None and until():
-                return self.now - started
+                return self.now - started_at
             self.now += _TICK_SECONDS
             for name, member in list(self.members.items()):
                 if name not in self._frozen:
                     self.deliver(name, member.tick(self.now))
         if until is not None and not until():
-            raise TimeoutError("the condition did not come to hold")
+            raise TimeoutError(f"the condition did not hold within {seconds} s")
         return seconds
 
     def deliver(self, source, datagrams):
-        """Bring datagrams to their members, and the answers back."""
+        """Deliver datagrams to their members, and the datagrams that they send in reply."""
         queue = deque((source, datagram) for datagram in datagrams)
         while queue:
             source, datagram = queue.popleft()
@@ -113,16 +123,16 @@
             if not self._reachable(source, target) or self._random.random() < self._loss:
                 continue
             message = decode(datagram.data)
-            answers = self.members[target].receive(message, source, self.now)
-            queue.extend((target, answer) for answer in answers)
+            replies = self.members[target].receive(message, source, self.now)
+            queue.extend((target, reply) for reply in replies)
 
     def state(self, viewer, name):
-        """Tell what one member believes of another."""
+        """Return the state that one member assigns to another; None if it does not know it."""
         member = self.members[viewer].replica.member(name)
         return None if member is None else member.state
 
     def views(self, name):
-        """Tell what all living members but itself believe of one."""
+        """Return the set of states that the other members, unless frozen, assign to a member."""
         return {
             self.state(viewer, name)
             for viewer in self.members
