--- a/tests/features/steps/keyed_steps.py
+++ b/tests/features/steps/keyed_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from standins.caller import Caller, call, render
-from standins.orders import TARGETS, count_runs, end_process, note_answer, send_order
+from standins.orders import TARGETS, count_runs, end_process, record_answer, send_order
 
 
 @given("the platform loses the answer of 1 claim")
@@ -91,7 +91,7 @@
 def send_at_once(context, key, milliseconds, first, second):
     callers = [_begin(context, key, node, milliseconds) for node in (first, second)]
     for caller in callers:
-        note_answer(context, caller.read(), 0)
+        record_answer(context, caller.read(), 0)
 
 
 @when("order {key:w} is begun at node {node:w}")
@@ -128,7 +128,7 @@
 
 @when("the begun order is answered")
 def read_begun(context):
-    note_answer(context, context.begun.read(), 0)
+    record_answer(context, context.begun.read(), 0)
 
 
 @when("the platform has held {count:d}")
--- a/tests/features/steps/ticket_steps.py
+++ b/tests/features/steps/ticket_steps.py
@@ -9,7 +9,7 @@
 from camphorshelf_core.settings import ClaimSettings
 from camphorshelf_core.tickets import TicketStep, TicketStore, parse_ticket
 from standins.caller import Caller, call, render
-from standins.orders import count_runs, end_process, note_answer, send_order
+from standins.orders import count_runs, end_process, record_answer, send_order
 
 
 @when("a ticket for orders is taken at node {node:w}")
@@ -47,7 +47,7 @@
 def use_at_once(context, first, second, milliseconds):
     callers = [_begin(context, node, milliseconds) for node in (first, second)]
     for caller in callers:
-        note_answer(context, caller.read(), 0)
+        record_answer(context, caller.read(), 0)
 
 
 @when("the ticket is begun at node {node:w}, working {milliseconds:d} ms")
@@ -66,7 +66,7 @@
 def use_and_kill(context, node, work):
     begin_ticket(context, node, work)
     kill_tickets_node(context)
-    note_answer(context, context.begun.read(), 0)
+    record_answer(context, context.begun.read(), 0)
 
 
 @when("the ticket's node is killed")
--- a/tests/standins/deployment.py
+++ b/tests/standins/deployment.py
@@ -59,7 +59,7 @@
 
     def _start_all(self, plans):
         self._start("platform", [sys.executable, "-m", "standins.platform", self.platform])
-        self._wait(self.platform)
+        self._wait_listening(self.platform)
         for plan in plans:
             self._add_plan(plan)
         try:
@@ -100,8 +100,8 @@
         path.write_text(json.dumps(self._make_settings(plan, node), indent=1))
         command = [sys.executable, "-m", "camphorshelf_node", "--settings", str(path)]
         self._start(f"node-{name}", [*command, "--log-level", self._log_level])
-        self._wait(node.admin)
-        self._wait(node.callers)
+        self._wait_listening(node.admin)
+        self._wait_listening(node.callers)
 
     def start_target(self, name):
         """Start the target of a node, if it has one."""
@@ -119,7 +119,7 @@
         }
         command = [sys.executable, "-m", "standins.target", json.dumps(options)]
         self._start(f"target-{name}", command)
-        self._wait(node.target)
+        self._wait_listening(node.target)
 
     def wait_served(self, name, service):
         """Wait until a node answers calls to a service with status 200."""
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -1,12 +1,17 @@
-"""Stand-in of the platform: a transactional table service and an object store.
-
-The table speaks the part of the published DynamoDB JSON protocol that nodes use, objects are
-plain GET and PUT. ``POST /_faults`` with a JSON object sets faults: ``refuse`` (503 to all),
-``delay_ms`` (before each answer), ``lose_answers`` (apply that many writes, then hang up) and
-``apply_late_ms`` (hang up first, apply the write after that time, for ``late_writes`` writes),
-``lose_reads`` (hang up on that many reads), ``hold_writes`` (hold that many writes before they
-are applied) and ``hold_answers`` (apply that many, hold their answers) until ``POST /_release``.
-``only`` limits the last six to operations whose body contains that text. ``/_counts`` tells how
+"""Simulates the platform: a transactional table service and an object store.
+
+The table implements the part of the published DynamoDB JSON protocol that nodes use; objects are
+read with GET and written with PUT. ``POST /_faults`` with a JSON object sets faults:
+
+- ``refuse``: answer all requests with 503.
+- ``delay_ms``: wait that long before each response.
+- ``lose_answers``: apply that many writes, then close the connection.
+- ``late_writes``: close the connection of that many writes and apply them ``apply_late_ms`` later.
+- ``lose_reads``: close the connection of that many reads.
+- ``hold_writes``: hold that many writes before they are applied, until ``POST /_release``.
+- ``hold_answers``: apply that many writes and hold their responses until ``POST /_release``.
+
+``only`` limits the last five to operations whose body contains that text. ``/_counts`` returns how
 many operations there were and how many are held.
 """
 
@@ -23,11 +28,11 @@
 
 
 class ConditionFailedError(Exception):
-    """A write whose condition does not hold."""
+    """The condition of a write does not hold."""
 
 
 class Table:
-    """Rows by partition and sort key, with conditional and transactional writes."""
+    """Rows by partition key and sort key, with conditional and transactional writes."""
 
     def __init__(self):
         self._rows = {}
@@ -36,7 +41,10 @@
         self.writes = 0
 
     def run(self, operation, body):
-        """Carry out one operation of the published protocol."""
+        """Execute one operation of the protocol and return its JSON document.
+
+        :raises ConditionFailedError: when a condition of a write does not hold.
+        """
         if operation in _WRITES:
             self.writes += 1
         else:
@@ -54,7 +62,7 @@
         return {}
 
     def _GetItem(self, body):  # noqa: N802
-        item = self._row(_key(body["Key"]))
+        item = self._find_row(_key(body["Key"]))
         return {} if item is None else {"Item": item}
 
     def _Query(self, body):  # noqa: N802
@@ -70,8 +78,8 @@
         for entry in body["TransactItems"]:
             ((kind, action),) = entry.items()
             key_item = action.get("Item") or action["Key"]
-            holds = self._holds(action, key_item)
-            reasons.append({"Code": "None"} if holds else self._failure(action, key_item))
+            is_met = self._condition_holds(action, key_item)
+            reasons.append({"Code": "None"} if is_met else self._describe_failure(action, key_item))
         if any(reason["Code"] != "None" for reason in reasons):
             raise ConditionFailedError(reasons)
         for entry in body["TransactItems"]:
@@ -83,25 +91,25 @@
         return {}
 
     def _check(self, action, key_item):
-        if not self._holds(action, key_item):
-            raise ConditionFailedError(self._failure(action, key_item))
+        if not self._condition_holds(action, key_item):
+            raise ConditionFailedError(self._describe_failure(action, key_item))
 
-    def _failure(self, action, key_item):
+    def _describe_failure(self, action, key_item):
         failure = {"Code": "ConditionalCheckFailed"}
-        row = self._row(_key(key_item))
+        row = self._find_row(_key(key_item))
         if row is not None and action.get("ReturnValuesOnConditionCheckFailure") == "ALL_OLD":
             failure["Item"] = row
         return failure
 
-    def _row(self, key):
+    def _find_row(self, key):
         row = self._rows.get(key)
         if row is not None and "ttl" in row and float(row["ttl"]["N"]) < time.time():
             del self._rows[key]
             return None
         return row
 
-    def _holds(self, action, key_item):
-        row = self._row(_key(key_item))
+    def _condition_holds(self, action, key_item):
+        row = self._find_row(_key(key_item))
         for term in filter(None, action.get("ConditionExpression", "").split(" AND ")):
             if not _term_holds(term.strip(), row, action):
                 return False
@@ -123,47 +131,47 @@
 
 
 class Platform:
-    """Both services and the faults set on them."""
+    """Both services and the faults that are set."""
 
     def __init__(self):
         self._table = Table()
         self._objects = {}
         self._faults = {}
-        self._held = []
+        self._held_operations = []
 
-    async def serve(self, received):
+    async def serve(self, request):
         """Answer one request."""
-        # A write that a node no longer waits for is applied all the same.
-        reply = await asyncio.shield(self._serve(received))
+        # A write is applied even if the node has closed the connection meanwhile.
+        reply = await asyncio.shield(self._serve(request))
         return reply._replace(headers=(*reply.headers, ("date", formatdate(usegmt=True))))
 
-    async def _serve(self, received):
-        if received.path == "/_release":
-            held, self._held = self._held, []
+    async def _serve(self, request):
+        if request.path == "/_release":
+            held, self._held_operations = self._held_operations, []
             for one in held:
                 one.set()
             return Reply()
-        if received.path == "/_faults":
-            self._faults = json.loads(received.body)
+        if request.path == "/_faults":
+            self._faults = json.loads(request.body)
             return Reply()
-        if received.path == "/_counts":
+        if request.path == "/_counts":
             table = self._table
             counts = {"reads": table.reads, "rows": table.rows_read, "writes": table.writes}
-            counts["held"] = len(self._held)
+            counts["held"] = len(self._held_operations)
             return Reply(body=json.dumps(counts).encode())
         if self._faults.get("refuse"):
             return Reply(status=503)
         if self._faults.get("delay_ms"):
             await asyncio.sleep(self._faults["delay_ms"] / 1000)
-        target = received.headers.get("x-amz-target")
+        target = request.headers.get("x-amz-target")
         if target is None:
-            return self._serve_object(received)
-        return await self._serve_table(target.partition(".")[2], json.loads(received.body))
+            return self._serve_object(request)
+        return await self._serve_table(target.partition(".")[2], json.loads(request.body))
 
-    def _serve_object(self, received):
-        key = unquote(received.path)
-        if received.method == "PUT":
-            self._objects[key] = received.body
+    def _serve_object(self, request):
+        key = unquote(request.path)
+        if request.method == "PUT":
+            self._objects[key] = request.body
             return Reply()
         if key in self._objects:
             return Reply(body=self._objects[key])
@@ -173,28 +181,28 @@
         if operation not in _WRITES:
             return (
                 Reply(hang_up=True)
-                if self._take("lose_reads", body)
+                if self._consume_fault("lose_reads", body)
                 else self._apply(operation, body)
             )
-        if self._take("late_writes", body):
+        if self._consume_fault("late_writes", body):
             late = self._faults["apply_late_ms"] / 1000
             asyncio.get_running_loop().call_later(late, self._apply, operation, body)
             return Reply(hang_up=True)
-        if self._take("hold_writes", body):
+        if self._consume_fault("hold_writes", body):
             await self._hold()
         reply = self._apply(operation, body)
-        if self._take("hold_answers", body):
+        if self._consume_fault("hold_answers", body):
             await self._hold()
-        if self._take("lose_answers", body):
+        if self._consume_fault("lose_answers", body):
             return Reply(hang_up=True)
         return reply
 
     async def _hold(self):
         released = asyncio.Event()
-        self._held.append(released)
+        self._held_operations.append(released)
         await released.wait()
 
-    def _take(self, fault, body):
+    def _consume_fault(self, fault, body):
         left = self._faults.get(fault, 0)
         if not left or self._faults.get("only", "") not in json.dumps(body):
             return False
--- a/tests/standins/poison_play.py
+++ b/tests/standins/poison_play.py
@@ -1,4 +1,4 @@
-"""Plays requests, one of them deadly, against a few targets and what their nodes know."""
+"""Simulates a request that crashes its targets among others, with the quarantines of nodes."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 
 class Nodes:
-    """Quarantines at several nodes that tell each other at once."""
+    """The quarantines of several nodes, which receive each other's updates without delay."""
 
     def __init__(self, names):
         self.now = 1_000.0
@@ -22,7 +22,7 @@
         self.all = {name: Quarantine(settings, name) for name in names}
 
     def crash(self, node, requests):
-        """Let the target of a node die under requests and spread the news."""
+        """Record at all nodes that the target of a node crashed while it ran some requests."""
         self.now += _STEP_SECONDS
         blamed = self.all[node].record_crash(requests, self.now)
         for request in blamed:
@@ -30,20 +30,20 @@
             for other in self.all.values():
                 other.merge_crashes(request, node, crashes, self.now)
 
-    def clean(self, node, request):
-        """Let a request run to its answer at a node and spread the news."""
+    def complete(self, node, request):
+        """Record at all nodes that a request completed at a node."""
         self.now += _STEP_SECONDS
         if self.all[node].record_completed(request, self.now, self.now):
             self._clear(request)
 
     def lift(self, node, request):
-        """Let an operator lift a request at a node and spread the news."""
+        """Lift the quarantine of a request at a node, as an operator does, and at all others."""
         self.now += _STEP_SECONDS
         self.all[node].lift(request, self.now)
         self._clear(request)
 
     def standings(self, request):
-        """What is held against a request, node by node."""
+        """Return the set of standings that the nodes assign to a request."""
         return {quarantine.standing(request, self.now) for quarantine in self.all.values()}
 
     def _clear(self, request):
@@ -51,55 +51,61 @@
             other.merge_cleared(request, self.now)
 
 
-def play_poison(seed, chance_death=0.0):
-    """Play one seed; gives the poison's own crashes and the innocent requests refused."""
-    source = random.Random(seed)
+def play_poison(seed, crash_probability=0.0):
+    """Simulate requests to several targets, one of which crashes every target that runs it.
+
+    :param seed: the seed of the random numbers.
+    :param crash_probability: the probability that a target crashes for another reason.
+    :return: how often that request crashed a target, the other requests that were refused, and the
+        standings of that request.
+    """
+    rng = random.Random(seed)
     nodes = Nodes([f"n{number}" for number in range(_TARGETS)])
-    again = [POISON]
+    retries = [POISON]
     crashes, refused = 0, set()
     for step in range(_ROUNDS):
-        node = f"n{source.randrange(_TARGETS)}"
-        fresh = [f"r{step}-{number}" for number in range(_CALLS)]
-        running, again = _let_in(nodes, node, fresh + again, refused)
-        deadly = POISON in running
-        if deadly or source.random() < chance_death:
-            crashes += deadly
+        node = f"n{rng.randrange(_TARGETS)}"
+        new_requests = [f"r{step}-{number}" for number in range(_CALLS)]
+        running, retries = _admit(nodes, node, new_requests + retries, refused)
+        has_poison = POISON in running
+        if has_poison or rng.random() < crash_probability:
+            crashes += has_poison
             nodes.crash(node, running)
-            again += [request for request in running if source.random() < 0.7]
-            again += [POISON] if deadly and POISON not in again else []
+            retries += [request for request in running if rng.random() < 0.7]
+            retries += [POISON] if has_poison and POISON not in retries else []
         else:
             for request in running:
-                nodes.clean(node, request)
+                nodes.complete(node, request)
     return crashes, refused, nodes.standings(POISON)
 
 
-def _let_in(nodes, node, requests, refused):
-    running, later, suspects = [], [], 0
+def _admit(nodes, node, requests, refused):
+    running, postponed, suspects = [], [], 0
     for request in requests:
         standing = nodes.all[node].standing(request, nodes.now)
         if standing is Standing.REFUSED:
             refused.add(request)
         elif standing is Standing.SUSPECT and suspects:
-            later.append(request)
+            postponed.append(request)
         else:
             suspects += standing is Standing.SUSPECT
             running.append(request)
-    return running, later
+    return running, postponed
 
 
-def play_news(seed):
-    """Give the standings at three nodes that got the same news in different orders."""
-    source = random.Random(seed)
+def play_updates(seed):
+    """Return the standings at three nodes that received the same updates in different orders."""
+    rng = random.Random(seed)
     settings = QuarantineSettings()
-    news = []
-    for _ in range(source.randrange(1, 12)):
-        at = float(source.randrange(1, 30))
-        if source.random() < 0.3:
-            news.append(lambda one, at=at: one.merge_cleared(POISON, at))
+    updates = []
+    for _ in range(rng.randrange(1, 12)):
+        at = float(rng.randrange(1, 30))
+        if rng.random() < 0.3:
+            updates.append(lambda one, at=at: one.merge_cleared(POISON, at))
         else:
-            crashes = Crashes(source.randrange(1, 3), at)
-            node = f"n{source.randrange(3)}"
-            news.append(
+            crashes = Crashes(rng.randrange(1, 3), at)
+            node = f"n{rng.randrange(3)}"
+            updates.append(
                 lambda one, node=node, crashes=crashes: one.merge_crashes(
                     POISON, node, crashes, 30.0
                 )
@@ -107,9 +113,9 @@
     standings = []
     for name in ("a", "b", "c"):
         quarantine = Quarantine(settings, name)
-        heard = news + source.choices(news, k=len(news))
-        source.shuffle(heard)
-        for item in heard:
-            item(quarantine)
+        received = updates + rng.choices(updates, k=len(updates))
+        rng.shuffle(received)
+        for apply_update in received:
+            apply_update(quarantine)
         standings.append(quarantine.standing(POISON, 30.0))
     return standings
--- a/tests/standins/processes.py
+++ b/tests/standins/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a test on loopback: started, signalled, waited for and ended."""
+"""Starts, signals and ends the processes of a test."""
 
 import os
 import signal
@@ -14,7 +14,10 @@
 
 
 class Processes:
-    """Separate processes, each with a log of its own."""
+    """Separate processes, each with its own log file.
+
+    :param node_paths: directories that precede the tests on the Python path of the processes.
+    """
 
     def __init__(self, node_paths=()):
         self._directory = tempfile.TemporaryDirectory(prefix="camphorshelf-")
@@ -23,7 +26,7 @@
 
     @property
     def directory(self):
-        """Where settings and logs are, as a path."""
+        """The directory of the settings and logs."""
         return Path(self._directory.name)
 
     def signal(self, process, number):
@@ -31,29 +34,35 @@
         self._processes[process].send_signal(number)
 
     def wait_end(self, process):
-        """Wait for a process to end and give its exit status."""
+        """Wait for a process to end and return its exit status."""
         return self._processes[process].wait(_STOP_SECONDS)
 
     def has_ended(self, process):
-        """Whether a started process is gone."""
+        """Return whether a started process has ended."""
         return self._processes[process].poll() is not None
 
     def pid(self, process):
-        """The process id of a started process."""
+        """Return the process id of a started process."""
         return self._processes[process].pid
 
     def log(self, process):
-        """What a process has written so far."""
+        """Return what a process has written to its log so far."""
         return (self.directory / f"{process}.log").read_text()
 
     def wait_until(self, condition, seconds=_START_SECONDS):
-        """Wait for a condition to hold; raises TimeoutError when it does not."""
-        end = time.monotonic() + seconds
-        while time.monotonic() < end:
+        """Wait until a condition holds.
+
+        :param condition: a function that tells whether it holds.
+        :param seconds: the timeout.
+        :return: None.
+        :raises TimeoutError: when the condition does not hold in time.
+        """
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
             if condition():
                 return
             time.sleep(0.02)
-        raise TimeoutError(f"the condition did not come to hold; {self._describe()}")
+        raise TimeoutError(f"the condition did not hold within {seconds} s; {self._describe()}")
 
     def _describe(self):
         ended = {name: one.poll() for name, one in self._processes.items()}
@@ -62,7 +71,7 @@
         return f"ended: {ended}, logs: {logs}"
 
     def close(self):
-        """End every process that was started and remove the files."""
+        """Kill all processes that still run and remove the files."""
         for process in self._processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -82,14 +91,14 @@
                 command, env=environment, stdout=log, stderr=log
             )
 
-    def _wait(self, address):
+    def _wait_listening(self, address):
         host, port = address.split(":")
 
-        def connects():
+        def accepts():
             try:
                 socket.create_connection((host, int(port)), timeout=1).close()
             except OSError:
                 return False
             return True
 
-        self.wait_until(connects)
+        self.wait_until(accepts)
--- a/tests/standins/relayparts.py
+++ b/tests/standins/relayparts.py
@@ -1,4 +1,4 @@
-"""What tests give to single parts of a node on the users' platform."""
+"""Settings and readers for tests of single parts of a relay node."""
 
 from camphorshelf_core.retrybudget import RetryLimits
 from camphorshelf_platform.documents import read_document, read_evacuations
--- a/tests/standins/relays.py
+++ b/tests/standins/relays.py
@@ -1,6 +1,6 @@
-"""Starts a store, nodes and targets of the users' platform as separate processes on loopback.
+"""Runs a store, relay nodes and targets as separate processes on loopback.
 
-As on the platform, every host has an address of its own and all use the same ports.
+As on the platform, every host has its own IP address and all hosts use the same ports.
 """
 
 import itertools
@@ -22,7 +22,7 @@
 
 
 class RelayPlan(NamedTuple):
-    """A host to start: its node, and the target beside it."""
+    """A host to start, with a node and a target."""
 
     name: str
     service: str
@@ -31,59 +31,67 @@
 
 
 class RelayDeployment(Processes):
-    """The processes of one small deployment on the platform."""
+    """The processes of one small deployment of relay nodes.
 
-    def __init__(self, plans, document=None, between=None):
+    :param plans: a :class:`RelayPlan` for each host.
+    :param document: the operators' document to write first; None for none.
+    :param start_proxy: a function that starts a proxy between the nodes and the store; it is called
+        with the address to listen on and the address of the store. None for no proxy.
+    """
+
+    def __init__(self, plans, document=None, start_proxy=None):
         super().__init__()
-        numbers = random.SystemRandom()
-        self._net = "127." + ".".join(str(numbers.randrange(1, 255)) for _ in range(2))
-        first = numbers.randrange(10_000, 32_000 - len(_PORT_NAMES))
+        rng = random.SystemRandom()
+        self._network_prefix = "127." + ".".join(str(rng.randrange(1, 255)) for _ in range(2))
+        first = rng.randrange(10_000, 32_000 - len(_PORT_NAMES))
         self._ports = {name: first + index for index, name in enumerate(_PORT_NAMES)}
         self._plans = {plan.name: plan for plan in plans}
-        self._hosts = {plan.name: index + 2 for index, plan in enumerate(plans)}
+        self._host_numbers = {plan.name: index + 2 for index, plan in enumerate(plans)}
         self.store = self.address("store", None)
-        # Nodes may reach the store through something that disturbs the way.
-        self._way_to_store = f"{self._net}.250:{self._ports['store']}" if between else self.store
+        # The address that the nodes use: the proxy's, if there is one.
+        self._store_address = (
+            f"{self._network_prefix}.250:{self._ports['store']}" if start_proxy else self.store
+        )
         self._ids = itertools.count(1)
         self.last_id = None
         try:
             command = [sys.executable, "-m", "standins.rowstore", self.store]
             self._start("store", command)
-            self._wait(self.store)
-            if between is not None:
-                between(self._way_to_store, self.store)
+            self._wait_listening(self.store)
+            if start_proxy is not None:
+                start_proxy(self._store_address, self.store)
             if document is not None:
                 self.configure(document)
             for plan in plans:
                 self.start_target(plan.name)
                 self.start_node(plan.name)
         except BaseException:
-            # Whoever started it has nothing to close yet; the processes would stay for ever.
+            # The caller has no object to close yet, so the processes would never be ended.
             self.close()
             raise
 
     @property
     def names(self):
-        """The hosts' names."""
+        """The names of the hosts."""
         return list(self._plans)
 
     def ip(self, name):
-        """The address of a host; None stands for the store's."""
-        return f"{self._net}.{1 if name is None else self._hosts[name]}"
+        """Return the IP address of a host; None stands for the store."""
+        return f"{self._network_prefix}.{1 if name is None else self._host_numbers[name]}"
 
     def address(self, port, name):
-        """Where a host listens for something, as ``ip:port``."""
+        """Return the address of a named port of a host, as ``IP:PORT``."""
         return f"{self.ip(name)}:{self._ports[port]}"
 
     def start_node(self, name):
-        """Start the node of a host, or start it again."""
+        """Start or restart the node of a host."""
         path = self.directory / f"{name}.conf"
-        path.write_text(self._settings(name))
+        path.write_text(self._render_settings(name))
         command = [sys.executable, str(_ROOT / "deploy" / "node.py")]
         self._start(f"node-{name}", command, CAMPHORSHELF_SETTINGS=str(path))
 
     def start_target(self, name):
-        """Start the target of a host, or start it again as a new process."""
+        """Start or restart the target of a host."""
         plan = self._plans[name]
         options = {
             "name": name,
@@ -97,12 +105,12 @@
         self._start(f"target-{name}", command)
 
     def configure(self, document):
-        """Write the operators' document."""
+        """Write the operators' document to the store."""
         row = {"table": "op", "key": "config", "value": encode_value(document)}
         call(self.store, "POST", "store", "/_put", body=json.dumps(row).encode())
 
     def evacuate(self, domain, is_evacuated=True):
-        """Write the operators' row that evacuates a failure domain, or take it back."""
+        """Write or delete the operators' row that evacuates a failure domain."""
         value = encode_value(b"{}") if is_evacuated else None
         row = {"table": "op", "key": f"evacuate/{domain}", "value": value}
         call(self.store, "POST", "store", "/_put", body=json.dumps(row).encode())
@@ -112,24 +120,24 @@
         call(self.store, "POST", "store", "/_faults", body=json.dumps(faults).encode())
 
     def counts(self):
-        """The store's calls by path."""
+        """Return the number of calls to the store by path."""
         return json.loads(call(self.store, "GET", "store", "/_counts").body)
 
     def is_ready(self, name):
-        """Whether a node wants callers."""
+        """Return whether a node reports that it is ready for callers."""
         try:
-            answer = call(self.address("readiness", name), "GET", "node", "/api/ready")
+            response = call(self.address("readiness", name), "GET", "node", "/api/ready")
         except OSError:
             return False
-        return answer.status == 200
+        return response.status == 200
 
     def wait_ready(self, *names):
-        """Wait until nodes want callers."""
+        """Wait until nodes are ready; all nodes if no names are given."""
         for name in names or self.names:
             self.wait_until(lambda name=name: self.is_ready(name))
 
     def wait_served(self, path="/look/warm", names=()):
-        """Wait until nodes serve a path."""
+        """Wait until nodes answer a path with status 200; all nodes if no names are given."""
         for name in names or self.names:
             self.wait_until(lambda name=name: self._is_served(name, path))
 
@@ -140,43 +148,43 @@
             return False
 
     def send(self, name, method, path, headers=(), body=b"", wait_ms=2000):
-        """Send a request to a node over a connection of its own."""
+        """Send a request to a node over a new connection and return the response."""
         headers = (*headers, ("Request-Id", self.next_id()), ("Deadline-Ms", str(wait_ms)))
         return call(self.address("callers", name), method, _HOST, path, headers, body)
 
     def connect(self, name):
-        """Open a caller's connection to a node."""
+        """Open a caller's connection to a node and return the :class:`Caller`."""
         return Caller(self.address("callers", name))
 
     def next_id(self):
-        """Make the id of one more request."""
+        """Make a new request id."""
         self.last_id = f"r{next(self._ids)}"
         return self.last_id
 
     def runs(self, name):
-        """What the target of a host ran."""
-        answer = call(self.address("target", name), "GET", "target", "/_runs")
-        return json.loads(answer.body)
+        """Return the runs of the current target process of a host."""
+        response = call(self.address("target", name), "GET", "target", "/_runs")
+        return json.loads(response.body)
 
     def all_runs(self):
-        """How often each request ran at any target, those that are gone included."""
+        """Return how often each request has run at all targets, including those that have ended."""
         journal = self.directory / "runs.log"
         lines = journal.read_text().splitlines() if journal.exists() else []
         return Counter(line.split()[0] for line in lines)
 
     def run_times(self, name):
-        """When the targets of a host began to run requests, Unix seconds."""
+        """Return the start times of the runs at the targets of a host, in Unix seconds."""
         journal = self.directory / "runs.log"
         lines = journal.read_text().splitlines() if journal.exists() else []
         return [float(line.split()[2]) for line in lines if line.split()[1] == name]
 
     def events(self, name, event):
-        """The log lines of one event that a node has written."""
+        """Return the log lines of one event that a node has written, as dictionaries."""
         lines = self.log(f"node-{name}").splitlines()
         parsed = [json.loads(line) for line in lines if line.startswith("{")]
         return [line for line in parsed if line["event"] == event]
 
-    def _settings(self, name):
+    def _render_settings(self, name):
         plan = self._plans[name]
         fields = {
             "self.node": name,
@@ -189,7 +197,7 @@
             "network.listen.ready": self.address("readiness", name),
             "network.listen.control": self.address("heartbeats", name),
             "network.port_range": f"{self._ports['datagrams']},{self._ports['datagrams']}",
-            "platform.platform.addr": self._way_to_store,
+            "platform.platform.addr": self._store_address,
             "terms.bounds.grace_s": _GRACE_SECONDS,
             "terms.bounds.retry_ratio": 0.2,
             "terms.bounds.retry_window_s": 10,
@@ -204,18 +212,19 @@
     """Make an operators' document.
 
     :param version: its version.
-    :param routes: pairs of prefix and the route's fields; a usual set when left out.
-    :param limits: limits that differ from the usual ones.
+    :param routes: the fields of each route that differ from the defaults, by prefix; two default
+        routes if None.
+    :param limits: the limits that differ from the defaults.
     :return: the document.
     """
-    usual = {
+    defaults = {
         "/look/": {"service": "counter", "kind": "idempotent"},
         "/order/": {"service": "orders", "kind": "non_idempotent", "priority": 0},
     }
-    entries = [_route(prefix, fields) for prefix, fields in (routes or usual).items()]
+    resources = [_route(prefix, fields) for prefix, fields in (routes or defaults).items()]
     for service in ("counter", "orders"):
         spec = {"health_path": "/health", "max_conns": 100}
-        entries.append({"type": "services", "meta": {"name": service}, "spec": spec})
+        resources.append({"type": "services", "meta": {"name": service}, "spec": spec})
     bounds = {
         "max_header_bytes": 16_384,
         "max_body_bytes": 1_048_576,
@@ -223,12 +232,12 @@
         "idle_timeout_s": 15,
         **limits,
     }
-    entries.append({"type": "limits", "meta": {}, "spec": bounds})
-    return {"version": version, "resources": entries}
+    resources.append({"type": "limits", "meta": {}, "spec": bounds})
+    return {"version": version, "resources": resources}
 
 
 def _route(prefix, fields):
-    usual = {
+    defaults = {
         "host": f"{_HOST}.example",
         "prefix": prefix,
         "timeout_s": 1.0,
@@ -236,4 +245,4 @@
         "priority": 2,
         "attempts": 2,
     }
-    return {"type": "routes", "meta": {"name": f"r{prefix}"}, "spec": {**usual, **fields}}
+    return {"type": "routes", "meta": {"name": f"r{prefix}"}, "spec": {**defaults, **fields}}
--- a/tests/standins/relaytarget.py
+++ b/tests/standins/relaytarget.py
@@ -1,11 +1,18 @@
-"""Stand-in of a target on the users' platform: heartbeats, instance checks, load, and mischief.
-
-It starts with an id of its own, sends heartbeats to the node beside it, answers its health path,
-and runs requests for that id only. A request's query says what to do: ``work_ms``, ``fail`` (a
-status), ``cut`` (the connection breaks off while it runs), ``extra`` (a second answer behind the
-first, which belongs to no request), ``twice`` (a second answer behind the first, to the same
-request and with another body), ``mute`` (no answer), ``crash``.
-``/_runs`` lists what ran. SIGUSR1 makes it announce that it leaves, SIGUSR2 that it stays.
+"""Simulates a target of a relay node: heartbeats, instance checks, load reports and faults.
+
+Each process has its own instance id. It sends heartbeats to the node on its host, answers its
+health path and runs only requests for its instance id. The query of a request says what to do:
+
+- ``work_ms``: run for that long.
+- ``fail``: answer with that status.
+- ``echo``: answer with the body of the request.
+- ``cut``: close the connection without a response.
+- ``extra``: send a second response after the first, with the id of no request.
+- ``twice``: send a second response after the first, with the same request id and another body.
+- ``mute``: send no response.
+- ``crash``: end the process.
+
+``/_runs`` lists the runs. On SIGUSR1 the target announces that it leaves, on SIGUSR2 that it stays.
 """
 
 import asyncio
@@ -18,47 +25,50 @@
 
 from standins.server import Reply, run_server
 
-_BEAT_SECONDS = 0.5
+_HEARTBEAT_SECONDS = 0.5
 _WORK_MS = 5
 
 
 class RelayTarget:
-    """One target's state."""
+    """One target process.
+
+    :param options: the options of the command line, by name.
+    """
 
     def __init__(self, options):
         self._options = options
         self._instance = f"i-{options['name']}-{os.getpid()}"
-        self._born = int(time.time() * 1000)
+        self._started_at_ms = int(time.time() * 1000)
         self._sequence = 0
         self._leaving = False
         self._running = 0
         self._runs = []
         self._changed = asyncio.Event()
 
-    async def serve(self, received):
+    async def serve(self, request):
         """Answer one request."""
-        url = urlsplit(received.path)
+        url = urlsplit(request.path)
         if url.path == "/health":
-            return self._reply(503 if self._leaving else 200, received)
+            return self._reply(503 if self._leaving else 200, request)
         if url.path == "/_runs":
             return Reply(body=json.dumps(self._runs).encode())
-        if received.headers.get("expect-instance", "") != self._instance:
-            return self._reply(421, received, not_run=True)
+        if request.headers.get("expect-instance", "") != self._instance:
+            return self._reply(421, request, not_run=True)
         if self._running >= self._options["slots"]:
-            return self._reply(503, received, not_run=True)
+            return self._reply(503, request, not_run=True)
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         self._running += 1
-        run = self._note_run(received)
+        run = self._record_run(request)
         try:
-            return await self._work(received, query)
+            return await self._work(request, query)
         except asyncio.CancelledError:
-            # The connection was closed: like most targets, this one drops the work.
+            # The connection was closed. Like most targets, this one cancels the work.
             run["cancelled"] = True
             raise
         finally:
             self._running -= 1
 
-    async def _work(self, received, query):
+    async def _work(self, request, query):
         await asyncio.sleep(int(query.get("work_ms", _WORK_MS)) / 1000)
         if "crash" in query:
             os._exit(1)
@@ -67,38 +77,38 @@
         if "mute" in query:
             await asyncio.Event().wait()
         if "echo" in query:
-            return self._reply(200, received)._replace(body=received.body)
+            return self._reply(200, request)._replace(body=request.body)
         if "extra" in query:
-            return Reply(raw=_answer_twice(received, "stray"), close=False)
+            return Reply(raw=_render_two_responses(request, "stray"), close=False)
         if "twice" in query:
-            request_id = received.headers["request-id"]
-            return Reply(raw=_answer_twice(received, request_id), close=False)
-        return self._reply(int(query.get("fail", 200)), received)
-
-    def _note_run(self, received):
-        names = ("request-id", "caller", "deadline-ms", "expect-instance", "host")
-        told = {name: received.headers.get(name) for name in names}
-        run = {"method": received.method, "path": received.path, **told}
+            request_id = request.headers["request-id"]
+            return Reply(raw=_render_two_responses(request, request_id), close=False)
+        return self._reply(int(query.get("fail", 200)), request)
+
+    def _record_run(self, request):
+        header_names = ("request-id", "caller", "deadline-ms", "expect-instance", "host")
+        headers = {name: request.headers.get(name) for name in header_names}
+        run = {"method": request.method, "path": request.path, **headers}
         self._runs.append(run)
         with open(self._options["journal"], "a", encoding="utf-8") as journal:
-            journal.write(f"{told['request-id']} {self._options['name']} {time.time()}\n")
+            journal.write(f"{headers['request-id']} {self._options['name']} {time.time()}\n")
         return run
 
-    def _reply(self, status, received, not_run=False):
+    def _reply(self, status, request, not_run=False):
         headers = [
             ("Instance", self._instance),
             ("Instance-Load", f"{self._running},0,{self._options['slots']},100"),
             ("Response-Stamp", f"stamp-{self._instance}"),
         ]
-        if "request-id" in received.headers:
-            headers.append(("Request-Id", received.headers["request-id"]))
+        if "request-id" in request.headers:
+            headers.append(("Request-Id", request.headers["request-id"]))
         if not_run:
             headers.append(("Not-Executed", "1"))
-        body = f"{self._options['name']} {received.method} {received.path}\n".encode()
+        body = f"{self._options['name']} {request.method} {request.path}\n".encode()
         return Reply(status=status, headers=tuple(headers), body=body)
 
-    async def beat(self):
-        """Send heartbeats, and at once when something changed."""
+    async def send_heartbeats(self):
+        """Send heartbeats at a fixed interval, and at once when the state changes."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGUSR1, self._set_leaving, True)
         loop.add_signal_handler(signal.SIGUSR2, self._set_leaving, False)
@@ -113,12 +123,12 @@
                 "state": "draining" if self._leaving else "ready",
                 "cold_left_s": 0,
                 "seq": self._sequence,
-                "born": self._born,
+                "born": self._started_at_ms,
             }
             await self._send("PUT", json.dumps(fields).encode())
             self._changed.clear()
             try:
-                await asyncio.wait_for(self._changed.wait(), _BEAT_SECONDS)
+                await asyncio.wait_for(self._changed.wait(), _HEARTBEAT_SECONDS)
             except TimeoutError:
                 continue
 
@@ -133,20 +143,20 @@
         try:
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(head.encode() + b"Connection: close\r\n\r\n" + body)
-            answer = await asyncio.wait_for(reader.read(), 1.0)
+            response = await asyncio.wait_for(reader.read(), 1.0)
             writer.close()
         except (OSError, TimeoutError):
             return
-        if b" 200 " in answer[:16]:
+        if b" 200 " in response[:16]:
             print(f"acknowledged {method} leaving={self._leaving} {time.time()}", flush=True)
 
 
-def _answer_twice(received, second_id):
-    own = _render("own\n", received.headers["request-id"])
-    return own + _render("stray\n", second_id)
+def _render_two_responses(request, second_id):
+    own = _render_response("own\n", request.headers["request-id"])
+    return own + _render_response("stray\n", second_id)
 
 
-def _render(body, request_id):
+def _render_response(body, request_id):
     lines = (
         "HTTP/1.1 200 OK",
         f"Request-Id: {request_id}",
@@ -161,7 +171,7 @@
     """Run a target whose options are the JSON object on the command line."""
     options = json.loads(sys.argv[1])
     target = RelayTarget(options)
-    run_server(options["address"], target.serve, (target.beat(),))
+    run_server(options["address"], target.serve, (target.send_heartbeats(),))
 
 
 if __name__ == "__main__":
--- a/tests/standins/server.py
+++ b/tests/standins/server.py
@@ -1,4 +1,4 @@
-"""A small HTTP server on asyncio that the stand-ins share."""
+"""A small HTTP server on asyncio, shared by the stand-ins for targets and services."""
 
 import asyncio
 import signal
@@ -7,8 +7,8 @@
 import httptools
 
 
-class Received(NamedTuple):
-    """One request as a stand-in sees it."""
+class Request(NamedTuple):
+    """One HTTP request; ``peer`` is the IP address of the client."""
 
     method: str
     path: str
@@ -18,7 +18,15 @@
 
 
 class Reply(NamedTuple):
-    """A stand-in's answer; ``raw`` replaces the rest, None closes without a word."""
+    """One HTTP response.
+
+    :param status: the status.
+    :param headers: pairs of name and value.
+    :param body: the body.
+    :param raw: bytes that are sent instead of the rendered response; None to render it.
+    :param close: whether the connection is closed after ``raw``.
+    :param hang_up: whether the connection is aborted without a response.
+    """
 
     status: int = 200
     headers: tuple = ()
@@ -32,14 +40,14 @@
     def __init__(self, serve):
         self._serve = serve
         self._parser = httptools.HttpRequestParser(self)
-        self._tail = None
+        self._reply_task = None
 
     def connection_made(self, transport):
         self._transport = transport
 
     def connection_lost(self, _error):
-        if self._tail is not None:
-            self._tail.cancel()
+        if self._reply_task is not None:
+            self._reply_task.cancel()
 
     def data_received(self, data):
         try:
@@ -63,11 +71,11 @@
         method = self._parser.get_method().decode()
         peer = self._transport.get_extra_info("peername")[0]
         body = b"".join(self._body)
-        received = Received(method, self._url.decode(), self._headers, body, peer)
-        self._tail = asyncio.ensure_future(self._answer(received))
+        request = Request(method, self._url.decode(), self._headers, body, peer)
+        self._reply_task = asyncio.ensure_future(self._answer(request))
 
-    async def _answer(self, received):
-        reply = await self._serve(received)
+    async def _answer(self, request):
+        reply = await self._serve(request)
         if reply.hang_up:
             self._transport.abort()
         elif reply.raw is not None:
@@ -75,10 +83,10 @@
             if reply.close:
                 self._transport.close()
         else:
-            self._transport.write(_render(reply, received.method))
+            self._transport.write(_render_reply(reply, request.method))
 
 
-def _render(reply, method):
+def _render_reply(reply, method):
     lines = [f"HTTP/1.1 {reply.status} X".encode()]
     lines += [f"{name}: {value}".encode() for name, value in reply.headers]
     lines.append(b"content-length: %d" % len(reply.body))
@@ -86,13 +94,13 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
-async def _run(address, serve, beside, before_stop):
+async def _run(address, serve, background, before_stop):
     loop = asyncio.get_running_loop()
     host, port = address.split(":")
     server = await loop.create_server(lambda: _Protocol(serve), host, int(port), backlog=512)
     stop = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
-    tasks = [asyncio.ensure_future(task) for task in beside]
+    tasks = [asyncio.ensure_future(task) for task in background]
     await stop.wait()
     if before_stop is not None:
         await before_stop()
@@ -101,13 +109,13 @@
     server.close()
 
 
-def run_server(address, serve, beside=(), before_stop=None):
+def run_server(address, serve, background=(), before_stop=None):
     """Serve until SIGTERM.
 
-    :param address: ``IP:PORT``.
-    :param serve: a coroutine function from :class:`Received` to :class:`Reply`.
-    :param beside: coroutines to run meanwhile.
+    :param address: where to listen, as ``IP:PORT``.
+    :param serve: a coroutine function from :class:`Request` to :class:`Reply`.
+    :param background: coroutines to run at the same time.
     :param before_stop: a coroutine function to run between SIGTERM and the end.
     :return: None.
     """
-    asyncio.run(_run(address, serve, beside, before_stop))
+    asyncio.run(_run(address, serve, background, before_stop))
--- a/tests/standins/simulated.py
+++ b/tests/standins/simulated.py
@@ -1,7 +1,7 @@
-"""A seeded event loop that plays calls over the entry node's own code, without a network.
+"""Simulates calls to targets through the production code of entry nodes, without a network.
 
-Time is a number, a target is slots and a queue, a link is a delay. What decides (routing, spills,
-retries, hedges, health, probes) is the code that runs in production.
+The clock, the targets (slots and a queue) and the links (a delay) are simulated. Routing, spills,
+retries, hedges and health checks are the code of the node. All random numbers are seeded.
 """
 
 import heapq
@@ -28,8 +28,8 @@
 SERVICE = "counter"
 _NETWORK_SECONDS = 0.0005
 _QUEUE_PER_SLOT = 2
-_SHORT_MS = 50.0
-_NOWHERE = "127.0.0.1:1"
+_SHORT_WORK_MS = 50.0
+_UNUSED_ADDRESS = "127.0.0.1:1"
 
 
 class _Timer:
@@ -42,7 +42,7 @@
 
 
 class SimulatedLoop:
-    """The interface of the node's loop on simulated time."""
+    """Implements the interface of the node's event loop on a simulated clock."""
 
     def __init__(self):
         self._now = 100.0
@@ -50,17 +50,17 @@
         self._order = itertools.count()
 
     def now(self):
-        """The simulated moment."""
+        """Return the time of the simulated clock, in seconds."""
         return self._now
 
     def call_later(self, seconds, callback):
-        """Call back at a simulated moment."""
+        """Schedule a callback and return its timer."""
         timer = _Timer(self._now + max(0.0, seconds), callback)
         heapq.heappush(self._timers, (timer.when, next(self._order), timer))
         return timer
 
     def run(self):
-        """Run until nothing is left to do."""
+        """Run all timers in order until none are left."""
         while self._timers:
             when, _, timer = heapq.heappop(self._timers)
             self._now = when
@@ -69,7 +69,12 @@
 
 
 class SimulatedTarget:
-    """A target and its node: exact slots, a queue, and faults to set."""
+    """A target and its node, with slots, a queue and faults that tests set.
+
+    ``slowdown`` multiplies the run times, ``failing`` makes all calls fail at once,
+    ``reports_idle`` makes the target report that it is idle and fast, and ``report_period_s`` is
+    the interval in seconds at which its load report changes.
+    """
 
     def __init__(self, loop, name, slots):
         self._loop = loop
@@ -78,72 +83,72 @@
         self._in_flight = 0
         self._latency_ms = 0.0
         self.name = name
-        self.factor = 1.0
+        self.slowdown = 1.0
         self.failing = False
-        self.lies = False
-        self.report_period = 0.0
-        self._old_report = None
+        self.reports_idle = False
+        self.report_period_s = 0.0
+        self._last_report = None
         self.runs = 0
 
     @property
     def report(self):
-        """The load report of this moment."""
+        """The load report that the target sends now."""
         at_ms = self._loop.now() * 1000
-        if self.lies:
+        if self.reports_idle:
             return LoadReport(0, 0, self._slots, 0.1, at_ms=at_ms)
-        old = self._old_report
-        if old is not None and at_ms - old.at_ms < self.report_period * 1000:
-            return old
-        self._old_report = self.true_load
-        return self._old_report
+        last = self._last_report
+        if last is not None and at_ms - last.at_ms < self.report_period_s * 1000:
+            return last
+        self._last_report = self.true_load
+        return self._last_report
 
     @property
     def true_load(self):
-        """The load of this moment, whatever is reported."""
+        """The actual load now, whatever is reported."""
         load = (self._in_flight, len(self._queue), self._slots, self._latency_ms)
         return LoadReport(*load, at_ms=self._loop.now() * 1000)
 
     @property
     def in_flight(self):
-        """Calls that hold a slot."""
+        """How many calls occupy a slot."""
         return self._in_flight
 
     def call(self, message, on_done):
-        """The interface of a peer link."""
-        work = _Work(self, message, on_done)
-        self._loop.call_later(_NETWORK_SECONDS, work.arrive)
-        return lambda: self._loop.call_later(_NETWORK_SECONDS, work.cancel)
+        """Send a call to the target; return a function that cancels it, as a peer link does."""
+        call = _SimulatedCall(self, message, on_done)
+        self._loop.call_later(_NETWORK_SECONDS, call.arrive)
+        return lambda: self._loop.call_later(_NETWORK_SECONDS, call.cancel)
 
-    def offer(self, work):
+    def offer(self, call):
         if self._in_flight < self._slots and not self._queue:
-            self._start(work)
-        elif not can_start_within(self.true_load, work.message.longest_wait_ms):
-            work.answer(Refusal(Code.TARGET_BUSY, "busy"))
+            self._start(call)
+        elif not can_start_within(self.true_load, call.message.longest_wait_ms):
+            call.answer(Refusal(Code.TARGET_BUSY, "busy"))
         elif len(self._queue) < self._slots * _QUEUE_PER_SLOT:
-            self._queue.append(work)
+            self._queue.append(call)
         else:
-            work.answer(Refusal(Code.QUEUE_FULL, "full", retry_after_ms=1000))
+            call.answer(Refusal(Code.QUEUE_FULL, "full", retry_after_ms=1000))
 
     def release(self):
         self._in_flight -= 1
         while self._queue and self._in_flight < self._slots:
-            work = self._queue.popleft()
-            if not work.cancelled:
-                self._start(work)
+            call = self._queue.popleft()
+            if not call.cancelled:
+                self._start(call)
 
-    def _start(self, work):
+    def _start(self, call):
         self._in_flight += 1
         self.runs += 1
-        seconds = float(work.message.path) / 1000 * self.factor
+        seconds = float(call.message.path) / 1000 * self.slowdown
         if self.failing:
             seconds = 0.0001
-        work.start(seconds)
+        call.start(seconds)
 
-    def note_latency(self, milliseconds):
+    def record_latency(self, milliseconds):
         self._latency_ms += 0.1 * (milliseconds - self._latency_ms)
 
 
-class _Work:
+class _SimulatedCall:
     def __init__(self, target, message, on_done):
         self._target = target
         self._on_done = on_done
@@ -179,13 +184,13 @@
 
     def _end(self):
         self._timer = None
-        self._target.note_latency(self._seconds * 1000)
+        self._target.record_latency(self._seconds * 1000)
         self._target.release()
         self.answer(Response(503 if self._target.failing else 200, (), b""))
 
 
 class SimulatedExchange:
-    """A caller's request and what became of it."""
+    """A caller's request and its result; implements the interface of the node's exchange."""
 
     def __init__(self, loop, work_ms, deadline_ms, method="GET", headers=()):
         self._loop = loop
@@ -201,29 +206,29 @@
         self.answers = 0
 
     def guard(self, callback):
-        """Let faults end the simulation."""
+        """Return the callback unchanged, so that exceptions end the simulation."""
         return callback
 
     def when_hung_up(self, callback):
-        """Remember what to do when the caller goes away."""
+        """Set the callback for a caller that disconnects."""
         self.hang_up = callback
 
     def answer(self, response):
-        """Take the answer."""
-        self._take(response)
+        """Record the response."""
+        self._set_result(response)
 
     def refuse(self, refusal):
-        """Take the refusal."""
-        self._take(refusal)
+        """Record the refusal."""
+        self._set_result(refusal)
 
-    def _take(self, result):
+    def _set_result(self, result):
         self.answers += 1
         self.result = result
         self.milliseconds = (self._loop.now() - self.started) * 1000
 
     @property
-    def is_sufficient(self):
-        """Whether the caller got a good answer."""
+    def is_successful(self):
+        """Whether the caller got a response with status 200."""
         return isinstance(self.result, Response) and self.result.status == 200
 
 
@@ -272,28 +277,36 @@
         return False
 
     def ride_on(self, link, address):
-        """Tell nothing."""
+        """Do nothing."""
 
     def hear_from(self, address, version):
-        """Hear nothing."""
+        """Do nothing."""
 
 
-class _Leavers:
+class _LeavingTargets:
     def is_leaving(self, target):
         """Let all stay."""
         return False
 
     def note_report(self, target, load):
-        """Learn nothing."""
+        """Do nothing."""
 
 
 class _NoProbes:
     def probe_one(self, candidates):
-        """Send none."""
+        """Send no probe."""
 
 
 class Simulation:
-    """Some entry nodes and targets of one service."""
+    """Simulates entry nodes and the targets of one service.
+
+    :param seed: the seed of the random numbers.
+    :param targets: the number of targets.
+    :param entries: the number of entry nodes.
+    :param slots: the number of slots of each target.
+    :param domains: the number of failure domains.
+    :param entry: fields of :class:`EntrySettings`.
+    """
 
     def __init__(self, seed=1, targets=6, entries=3, slots=4, domains=3, **entry):
         self.random = random.Random(seed)
@@ -310,7 +323,7 @@
                 "x",
                 address,
                 f"fd-{i % domains}",
-                Announcement(SERVICE, _NOWHERE, slots),
+                Announcement(SERVICE, _UNUSED_ADDRESS, slots),
             )
             for i, (address, target) in enumerate(links.items())
         ]
@@ -322,30 +335,34 @@
         self.exchanges = []
 
     def _make_entry(self, index, domain, links, entry):
-        listen = ListenSettings(_NOWHERE, _NOWHERE, _NOWHERE)
+        listen = ListenSettings(_UNUSED_ADDRESS, _UNUSED_ADDRESS, _UNUSED_ADDRESS)
         settings = Settings(
-            f"e{index}", domain, listen, PlatformSettings(_NOWHERE, _NOWHERE), entry=entry
+            f"e{index}",
+            domain,
+            listen,
+            PlatformSettings(_UNUSED_ADDRESS, _UNUSED_ADDRESS),
+            entry=entry,
         )
-        chance = random.Random(self.random.random())
-        keeper = LoadKeeper(
+        rng = random.Random(self.random.random())
+        load_tracker = LoadKeeper(
             self.loop,
             settings,
             _Roster(self.members),
             _Configuration(),
             self.gossip,
-            _Leavers(),
-            chance,
+            _LeavingTargets(),
+            rng,
         )
         dispatcher = Dispatcher(
             self.loop,
             settings,
             f"i{index}",
-            keeper,
+            load_tracker,
             None,
             _NoProbes(),
             None,
             _Log(),
-            chance,
+            rng,
             _Configuration(),
         )
         dispatcher.link = links.get
@@ -353,40 +370,70 @@
 
     @property
     def counts(self):
-        """What all entry nodes counted."""
+        """The sum of the counts of all entry nodes."""
         return sum((entry.counts for entry in self.entries), Counter())
 
     def call(self, at, work_ms, entry=None, deadline_ms=2_000, method="GET", headers=()):
-        """Plan a call at a simulated moment (seconds from the start)."""
-        chosen = self.entries[self.random.randrange(len(self.entries)) if entry is None else entry]
+        """Schedule a call.
+
+        :param at: when the caller sends it, in seconds from the start.
+        :param work_ms: its run time at a target that is not slowed down.
+        :param entry: the index of the entry node; None for a random one.
+        :param deadline_ms: its deadline.
+        :param method: the HTTP method.
+        :param headers: the headers.
+        :return: None.
+        """
+        entry_node = self.entries[
+            self.random.randrange(len(self.entries)) if entry is None else entry
+        ]
 
         def send():
             exchange = SimulatedExchange(self.loop, work_ms, deadline_ms, method, headers)
             self.exchanges.append(exchange)
-            chosen.dispatch(exchange)
+            entry_node.dispatch(exchange)
 
         self.loop.call_later(at, send)
 
-    def load(self, share, seconds, work, start=0.0, mean_ms=25.0, **fields):
-        """Plan Poisson arrivals that fill a share of all slots."""
+    def load(self, share, seconds, draw_work_ms, start=0.0, mean_ms=25.0, **fields):
+        """Schedule calls that arrive as a Poisson process.
+
+        :param share: the share of all slots that the calls occupy on average.
+        :param seconds: for how long calls arrive.
+        :param draw_work_ms: a function from the random numbers to the run time of a call in
+            milliseconds.
+        :param start: when the first calls may arrive, in seconds from the start.
+        :param mean_ms: the mean run time from which the rate follows.
+        :param fields: other arguments of :meth:`call`.
+        :return: None.
+        """
         rate = share * len(self.targets) * self.slots / (mean_ms / 1000)
         at = start + self.random.expovariate(rate)
         while at < start + seconds:
-            self.call(at, work(self.random), **fields)
+            self.call(at, draw_work_ms(self.random), **fields)
             at += self.random.expovariate(rate)
 
     def at(self, seconds, change):
-        """Plan a change at a simulated moment."""
+        """Schedule a change, in seconds from the start."""
         self.loop.call_later(seconds, change)
 
     def run(self):
-        """Play everything and give the outcome."""
+        """Run the simulation to its end and return its :class:`SimulationResult`."""
         self.loop.run()
-        return Played.of(self)
+        return SimulationResult.from_simulation(self)
+
 
+class SimulationResult(NamedTuple):
+    """The results of all calls of a simulation.
 
-class Played(NamedTuple):
-    """What callers got."""
+    :param p50: the median latency of successful calls, in milliseconds.
+    :param p99: the 99th percentile of their latency, in milliseconds.
+    :param goodput: the share of calls that succeeded.
+    :param refused: how many calls were refused.
+    :param short_p99: the 99th percentile of the latency of short calls, in milliseconds.
+    :param counts: the counts of all entry nodes.
+    :param runs: how many calls each target ran.
+    """
 
     p50: float
     p99: float
@@ -397,26 +444,28 @@
     runs: tuple
 
     @classmethod
-    def of(cls, simulation):
-        """Sum up a simulation."""
+    def from_simulation(cls, simulation):
+        """Compute the results of a simulation that has ended."""
         for exchange in simulation.exchanges:
-            assert exchange.answers == 1, "a caller got no answer or two"
+            assert exchange.answers == 1, "a caller got no answer or more than one"
         for target in simulation.targets:
-            assert target.in_flight == 0, "a slot was never freed"
-        good_calls = [one for one in simulation.exchanges if one.is_sufficient]
-        good = sorted(one.milliseconds for one in good_calls)
+            assert target.in_flight == 0, "a slot was not released"
+        successful = [one for one in simulation.exchanges if one.is_successful]
+        latencies_ms = sorted(one.milliseconds for one in successful)
         total = len(simulation.exchanges)
         return cls(
-            p50=good[len(good) // 2] if good else float("inf"),
-            p99=good[int(0.99 * len(good))] if good else float("inf"),
-            goodput=len(good) / max(1, total),
-            short_p99=_quantile_of_short(good_calls),
+            p50=latencies_ms[len(latencies_ms) // 2] if latencies_ms else float("inf"),
+            p99=latencies_ms[int(0.99 * len(latencies_ms))] if latencies_ms else float("inf"),
+            goodput=len(latencies_ms) / max(1, total),
+            short_p99=_p99_of_short_calls(successful),
             refused=sum(isinstance(one.result, Refusal) for one in simulation.exchanges),
             counts=simulation.counts,
             runs=tuple(target.runs for target in simulation.targets),
         )
 
 
-def _quantile_of_short(exchanges):
-    short = sorted(one.milliseconds for one in exchanges if float(one.request.path) < _SHORT_MS)
-    return short[int(0.99 * len(short))] if short else float("inf")
+def _p99_of_short_calls(exchanges):
+    latencies_ms = sorted(
+        one.milliseconds for one in exchanges if float(one.request.path) < _SHORT_WORK_MS
+    )
+    return latencies_ms[int(0.99 * len(latencies_ms))] if latencies_ms else float("inf")
--- a/tests/standins/target.py
+++ b/tests/standins/target.py
@@ -1,11 +1,19 @@
-"""Stand-in of a target: a service that announces itself and works for as long as it is told.
-
-It works on at most ``slots`` calls at once; more are answered 503. A call's query says what
-to do: ``work_ms`` (how long), ``size`` (of the answer), ``fail`` (``503``, ``cut``, ``hang-up``,
-``crash`` or ``unframed``). Each POST's key is counted under ``GET /_runs``. ``/_factor/N`` makes
-all work take N times as long; ``/_fail/503`` lets every call fail at once, ``/_fail/none`` ends it.
-All work is counted under ``GET /_seen``. On SIGTERM it leaves: it tells its node and ends once it
-was told that it is empty.
+"""Simulates a target: a service that announces itself to its node and runs calls.
+
+It runs at most ``slots`` calls at once and answers others with 503. The query of a call says what
+to do: ``work_ms`` (how long to run), ``size`` (bytes to add to the response body), ``fail``
+(``503``, ``cut``, ``hang-up``, ``crash`` or ``unframed``) and ``key`` (the key under which a POST
+is counted).
+
+Other paths control the target:
+
+- ``GET /_runs`` returns how often each key has run, ``GET /_seen`` the number of all calls run.
+- ``/_slow/MS`` sets the default run time, ``/_factor/N`` multiplies all run times by N.
+- ``/_fail/503`` makes every call fail at once, with any of the failures above but ``crash``;
+  ``/_fail/none`` ends that.
+
+On SIGTERM the target asks its node to send no more calls, and ends when the node has called
+``/drain``.
 """
 
 import asyncio
@@ -22,55 +30,58 @@
 
 
 class Target:
-    """One target's state."""
+    """One target process.
+
+    :param options: the options of the command line, by name.
+    """
 
     def __init__(self, options):
         self._options = options
         self._slots = asyncio.Semaphore(options["slots"])
         self._runs = Counter()
-        self._slow_ms = options.get("work_ms", 1)
-        self._factor = 1.0
-        self._fail = None
-        self._seen = 0
-        self._working = 0
+        self._default_work_ms = options.get("work_ms", 1)
+        self._slowdown = 1.0
+        self._failure = None
+        self._call_count = 0
+        self._running = 0
         self._drained = asyncio.Event()
 
-    async def serve(self, received):
+    async def serve(self, request):
         """Answer one request."""
-        if received.path == "/_runs":
+        if request.path == "/_runs":
             return Reply(body=json.dumps(self._runs).encode())
-        if received.path == "/_seen":
-            return Reply(body=b"%d" % self._seen)
-        if received.path == "/drain":
-            print(f"drained with {self._working} calls in flight", flush=True)
+        if request.path == "/_seen":
+            return Reply(body=b"%d" % self._call_count)
+        if request.path == "/drain":
+            print(f"drained with {self._running} calls in flight", flush=True)
             self._drained.set()
             return Reply()
-        if received.path.startswith("/_slow/"):
-            self._slow_ms = float(received.path.rpartition("/")[2])
+        if request.path.startswith("/_slow/"):
+            self._default_work_ms = float(request.path.rpartition("/")[2])
             return Reply()
-        if received.path.startswith("/_factor/"):
-            self._factor = float(received.path.rpartition("/")[2])
+        if request.path.startswith("/_factor/"):
+            self._slowdown = float(request.path.rpartition("/")[2])
             return Reply()
-        if received.path.startswith("/_fail/"):
-            self._fail = _FAILURES.get(received.path.rpartition("/")[2])
+        if request.path.startswith("/_fail/"):
+            self._failure = _FAILURES.get(request.path.rpartition("/")[2])
             return Reply()
-        if self._fail is not None:
-            return self._fail
-        query = {key: values[0] for key, values in parse_qs(urlsplit(received.path).query).items()}
+        if self._failure is not None:
+            return self._failure
+        query = {key: values[0] for key, values in parse_qs(urlsplit(request.path).query).items()}
         if self._slots.locked():
             return Reply(status=503, body=b"busy")
         async with self._slots:
-            self._seen += 1
-            self._working += 1
+            self._call_count += 1
+            self._running += 1
             try:
-                return await self._work(received, query)
+                return await self._work(request, query)
             finally:
-                self._working -= 1
+                self._running -= 1
 
-    async def _work(self, received, query):
-        if received.method == "POST":
-            self._note_run(query.get("key", ""))
-        work_ms = float(query.get("work_ms", self._slow_ms)) * self._factor
+    async def _work(self, request, query):
+        if request.method == "POST":
+            self._record_run(query.get("key", ""))
+        work_ms = float(query.get("work_ms", self._default_work_ms)) * self._slowdown
         await asyncio.sleep(work_ms / 1000)
         fail = query.get("fail")
         if fail == "crash":
@@ -78,18 +89,18 @@
         if fail is not None:
             return _FAILURES[fail]
         size = int(query.get("size", 0))
-        body = f"{self._options['name']} {received.method} {received.path}\n".encode()
+        body = f"{self._options['name']} {request.method} {request.path}\n".encode()
         return Reply(headers=(("content-type", "text/plain"),), body=body + b"x" * size)
 
-    def _note_run(self, key):
+    def _record_run(self, key):
         self._runs[key] += 1
         if "journal" in self._options:
-            # What a killed target ran must still be counted.
+            # The runs of a killed target must be counted as well.
             with open(self._options["journal"], "a", encoding="utf-8") as journal:
                 journal.write(f"{key}\n")
 
     async def announce(self):
-        """Announce the target to the node beside it every second."""
+        """Announce the target to its node every second."""
         document = {key: self._options[key] for key in ("service", "address", "slots")}
         document["instance"] = str(os.getpid())
         body = json.dumps(document).encode()
@@ -98,7 +109,7 @@
             await asyncio.sleep(_ANNOUNCE_SECONDS)
 
     async def leave(self):
-        """Ask the node for no more work and wait until there is none."""
+        """Ask the node to send no more calls, and wait until it has none left for this target."""
         if await _post(self._options["announce"], "/leave", b""):
             await asyncio.wait_for(self._drained.wait(), _LEAVE_SECONDS)
 
@@ -117,9 +128,9 @@
         reader, writer = await asyncio.open_connection(host, int(port))
         head = f"POST {path} HTTP/1.1\r\nHost: node\r\nContent-Length: {len(body)}\r\n"
         writer.write(head.encode() + b"Connection: close\r\n\r\n" + body)
-        answer = await reader.read()
+        response = await reader.read()
         writer.close()
-        return answer
+        return response
     except OSError:
         return b""
 
