--- a/tests/features/steps/quarantine_steps.py
+++ b/tests/features/steps/quarantine_steps.py
@@ -11,7 +11,7 @@
 from camphorshelf_node.quarantine import SUSPECT_HEADER
 from standins.caller import call
 from standins.deployment import Deployment, NodePlan
-from standins.poison_play import INNOCENT_PER_PLAY, POISON, Nodes, play_updates, play_poison
+from standins.poison_play import INNOCENT_PER_PLAY, POISON, Nodes, play_merges, play_poison
 from standins.simulated import Simulation
 
 _NAMES = ("r1", "r2", "r3")
@@ -73,7 +73,7 @@
     "{count:d} random histories of crashes, clearings and lifts reach three nodes in random orders"
 )
 def news(context, count):
-    context.standings = [play_updates(seed) for seed in range(count)]
+    context.standings = [play_merges(seed) for seed in range(count)]
 
 
 @when("the poison is sent among innocent requests over {count:d} fixed seeds")
--- a/tests/standins/deployment.py
+++ b/tests/standins/deployment.py
@@ -172,7 +172,7 @@
 
 
 def _choose_loopback_ip():
-    """Choose a random IP address of the loopback range, which no other deployment uses.
+    """Choose a random IP address of the loopback range, so that deployments don't share one.
 
     Several tests run at once. If they shared an IP address, a port that is free when it is chosen
     could belong to another test by the time the process listens on it; callers would then be
--- a/tests/standins/poison_play.py
+++ b/tests/standins/poison_play.py
@@ -1,4 +1,4 @@
-"""Simulates a request that crashes its targets among others, with the quarantines of nodes."""
+"""Simulates requests, one of which crashes its targets, and the quarantines of the nodes."""
 
 import random
 
@@ -52,12 +52,12 @@
 
 
 def play_poison(seed, crash_probability=0.0):
-    """Simulate requests to several targets, one of which crashes every target that runs it.
+    """Simulate requests to several targets; one request crashes every target that runs it.
 
     :param seed: the seed of the random numbers.
     :param crash_probability: the probability that a target crashes for another reason.
-    :return: how often that request crashed a target, the other requests that were refused, and the
-        standings of that request.
+    :return: how often that request crashed a target, the set of refused requests, and the set of
+        standings that the nodes assign to that request.
     """
     rng = random.Random(seed)
     nodes = Nodes([f"n{number}" for number in range(_TARGETS)])
@@ -93,7 +93,7 @@
     return running, postponed
 
 
-def play_updates(seed):
+def play_merges(seed):
     """Return the standings at three nodes that received the same updates in different orders."""
     rng = random.Random(seed)
     settings = QuarantineSettings()
