--- a/tests/features/steps/slot_limit_steps.py
+++ b/tests/features/steps/slot_limit_steps.py
@@ -5,15 +5,15 @@
 from behave import given, then, when
 
 from camphorshelf_core.slotlimit import SlotLimit
-from standins.bending import BendingTarget
+from standins.bending import SaturatingTarget
 
 _SEEDS = range(10)
 
 
 @given("a target with {slots:d} slots that slows down by {slowdown:f} beyond {bend:d}")
 def bending_target(context, slots, slowdown, bend):
-    context.adaptive = [BendingTarget(slots, bend, slowdown, True, seed) for seed in _SEEDS]
-    context.fixed = [BendingTarget(slots, bend, slowdown, False, seed) for seed in _SEEDS]
+    context.adaptive = [SaturatingTarget(slots, bend, slowdown, True, seed) for seed in _SEEDS]
+    context.fixed = [SaturatingTarget(slots, bend, slowdown, False, seed) for seed in _SEEDS]
 
 
 @when("{rate:d} requests a second come for {seconds:d} s")
