--- a/packages/node/src/camphorshelf_node/admissioncontroller.py
+++ b/packages/node/src/camphorshelf_node/admissioncontroller.py
@@ -157,7 +157,7 @@
         """Release the slot of a call that ended.
 
         :param local_call: the :class:`~camphorshelf_node.localcall.LocalCall`.
-        :param served: whether the call's duration shows the target's speed.
+        :param served: whether the call's duration counts as a measurement of the target's speed.
         :return: None.
         """
         now = self._loop.now()
@@ -210,7 +210,10 @@
 
     @property
     def crashes(self):
-        """Finds out for lost connections whether the target crashed or cut a response short."""
+        """The :class:`~camphorshelf_node.crashes.CrashDetector`.
+
+        It finds out for a lost connection whether the target crashed or only closed it.
+        """
         return self._crashes
 
     def _replace_target(self, announcement):
--- a/packages/node/src/camphorshelf_node/atmostonce.py
+++ b/packages/node/src/camphorshelf_node/atmostonce.py
@@ -1,4 +1,4 @@
-"""Ensures that a non-idempotent attempt starts at most once, and never once it is void."""
+"""Ensures that a non-idempotent attempt starts at most once, and not after it was voided."""
 
 from camphorshelf_core.attempts import AttemptState
 from camphorshelf_core.calls import is_idempotent
@@ -83,4 +83,4 @@
 
 
 def _do_nothing():
-    """Cancels a call that was never started: there is nothing to do."""
+    """Does nothing; the cancel function of a call that was never started."""
--- a/packages/node/src/camphorshelf_node/callexecution.py
+++ b/packages/node/src/camphorshelf_node/callexecution.py
@@ -74,7 +74,7 @@
         dispatcher = self._dispatcher
         return is_hedged(self._method) and not dispatcher.is_baseline
 
-    def _send(self, kind, exclude=(), spill=None):
+    def _send(self, kind, exclude=(), may_spill=None):
         dispatcher = self._dispatcher
         choice = dispatcher.choose(self._exchange.service, exclude)
         if choice is None:
@@ -84,8 +84,10 @@
                 return False
             longest_wait_ms = 0.0
         else:
-            spill = self._can_spill() if spill is None else spill
-            longest_wait_ms = dispatcher.load_tracker.round_trip.longest_wait_ms if spill else None
+            may_spill = self._can_spill() if may_spill is None else may_spill
+            longest_wait_ms = (
+                dispatcher.load_tracker.round_trip.longest_wait_ms if may_spill else None
+            )
         self._expected_ms = choice.expected_ms
         self._log(kind, choice, longest_wait_ms)
         _Attempt(self, choice.candidate, kind == "hedge").start(longest_wait_ms)
@@ -94,7 +96,8 @@
     def _can_spill(self):
         # An attempt with a short wait limit costs a message when the target is full. When all
         # targets are full, these messages would add to the overload, so a budget limits them.
-        # Attempts in flight when the budget runs out overdraw it, so the share holds over time.
+        # Spills of attempts in flight when it runs out are charged as well and make it negative,
+        # so the configured share holds on average.
         dispatcher = self._dispatcher
         return (
             not dispatcher.is_baseline
@@ -176,10 +179,10 @@
             return
         if self._running and is_failure(result):
             return
-        tried = RetryContext(
+        context = RetryContext(
             is_idempotent(self._method), self._retries_left, self.remaining_ms, self._expected_ms
         )
-        if decide_retry(result, tried, dispatcher.retry_budget).retry:
+        if decide_retry(result, context, dispatcher.retry_budget).retry:
             self._retried = True
             self._retries_left -= 1
             if self._send("retry", self._tried):
@@ -206,11 +209,12 @@
         dispatcher.load_tracker.round_trip.record(attempt.elapsed_ms)
         dispatcher.counts["spills"] += 1
         dispatcher.spill_budget.charge()
-        # The refusals carried new load reports, so an attempt with no wait limit chooses among
-        # all targets again.
-        again = self._can_spill()
-        if not self._send("spill", self._tried if again else (), again):
-            self._send("spill", (), spill=False)
+        # If no further spill is allowed, or no other target is left, the next attempt has no wait
+        # limit. It may go to any target, also to one that refused, as the refusals carried new
+        # load reports.
+        may_spill = self._can_spill()
+        if not self._send("spill", self._tried if may_spill else (), may_spill):
+            self._send("spill", (), may_spill=False)
 
     def _on_hedge(self):
         self._hedge_timer = None
@@ -345,9 +349,9 @@
             configuration = self._dispatcher.configuration
             configuration.observe_peer_version(self._candidate.address, load.config_version)
         failed = is_target_fault(result)
-        good = isinstance(result, Response) and not failed
-        load_tracker.record_done(self.target, load, self.elapsed_ms if good else None)
-        if failed or good:
+        succeeded = isinstance(result, Response) and not failed
+        load_tracker.record_done(self.target, load, self.elapsed_ms if succeeded else None)
+        if failed or succeeded:
             ejected = load_tracker.record_outcome(self._service, self.target, failed)
             if ejected:
                 self._dispatcher.log.decision("eject", service=self._service, target=self.target)
--- a/packages/node/src/camphorshelf_node/dispatch.py
+++ b/packages/node/src/camphorshelf_node/dispatch.py
@@ -1,4 +1,4 @@
-"""Chooses targets for calls and holds what all calls of an entry node share."""
+"""Chooses targets for calls and holds the state that all calls of an entry node share."""
 
 from collections import Counter
 
@@ -58,7 +58,7 @@
 
     @property
     def is_baseline(self):
-        """Whether a baseline policy is configured; baselines neither spill nor hedge nor probe."""
+        """Whether a baseline policy is configured; these neither spill, hedge nor probe."""
         return self.settings.entry.policy != "ours"
 
     def dispatch(self, exchange):
--- a/packages/node/src/camphorshelf_node/drain.py
+++ b/packages/node/src/camphorshelf_node/drain.py
@@ -13,7 +13,7 @@
 
 
 class Drainer:
-    """Carries out the steps of a :class:`~camphorshelf_core.drain.Drain`; idle while it is open."""
+    """Carries out a :class:`~camphorshelf_core.drain.Drain`; idle while the target takes calls."""
 
     def __init__(self, loop, settings, admission_controller):
         self._loop = loop
--- a/packages/node/src/camphorshelf_node/embeddedheads.py
+++ b/packages/node/src/camphorshelf_node/embeddedheads.py
@@ -9,7 +9,7 @@
 _NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 _HEAD_END = b"\r\n\r\n"
 _MAX_HEAD_BYTES = 65_536
-# A body may contain any number of response heads.
+# A body may contain any number of response heads; only the first ones are returned.
 _MAX_HEADS = 64
 
 
--- a/packages/node/src/camphorshelf_node/exchange.py
+++ b/packages/node/src/camphorshelf_node/exchange.py
@@ -74,8 +74,8 @@
             self.code = refusal.code
         if self.is_keyed and refusal.ran is Ran.NOT_RUN:
             # This request did not run, but an earlier request with the same key may have. A caller
-            # that reads NOT_RUN would send its order again under a new key. Only the claim tells
-            # whether the order ran.
+            # that reads NOT_RUN could repeat the operation under a new key, and it would run twice.
+            # Only the key's claim tells whether it ran.
             refusal = refusal._replace(ran=Ran.OUTCOME_UNKNOWN)
         status, headers, body = render_refusal(refusal)
         if self.retries_left is not None:
--- a/packages/node/src/camphorshelf_node/filters.py
+++ b/packages/node/src/camphorshelf_node/filters.py
@@ -25,14 +25,14 @@
     return lambda exchange: filter_(exchange, next_step)
 
 
-def make_identity_filter(is_known_service):
+def make_service_filter(is_known_service):
     """Make the filter that reads the service from the Host header.
 
     :param is_known_service: takes a service's name and returns whether it is known.
     :return: the filter.
     """
 
-    def identify(exchange, proceed):
+    def read_service(exchange, proceed):
         host = header(exchange.request.headers, b"host")
         if host is None:
             exchange.refuse(Refusal(Code.BAD_REQUEST, "a Host header is required"))
@@ -44,11 +44,11 @@
             return
         proceed(exchange)
 
-    return identify
+    return read_service
 
 
 def make_caller_filter(settings):
-    """Make the filter that identifies the caller, for its share of a target.
+    """Make the filter that identifies the caller; a target's slots are shared among callers.
 
     :param settings: the :class:`~camphorshelf_core.settings.GateSettings`.
     :return: the filter.
--- a/packages/node/src/camphorshelf_node/headers.py
+++ b/packages/node/src/camphorshelf_node/headers.py
@@ -55,7 +55,7 @@
 
 
 def with_deadline(headers, milliseconds):
-    """Set the deadline header.
+    """Return headers with the deadline header set.
 
     :param headers: pairs of lower-case name and value.
     :param milliseconds: the time until the deadline.
@@ -97,7 +97,8 @@
     if not bodiless:
         lines.append(b"content-length: %d" % len(body))
     elif status != 204:
-        # The length that GET would return. If the target did not send it, 0 would be wrong.
+        # The length of the body that a GET would return. If the target did not send it, it is
+        # left out: 0 would be wrong.
         declared = header(headers, b"content-length")
         if declared is not None:
             lines.append(b"content-length: " + declared)
--- a/packages/node/src/camphorshelf_node/http.py
+++ b/packages/node/src/camphorshelf_node/http.py
@@ -63,7 +63,7 @@
         self._timeout_at = None
         self._unsent_at_timeout_start = 0
         self._phase = None
-        self._requests = 0
+        self._request_count = 0
         self._refusal = None
         self.peer = ""
         stream.on_data = self._on_data
@@ -132,7 +132,7 @@
         self._body = []
         self._body_bytes = 0
         self._trailer_bytes = 0
-        self._requests += 1
+        self._request_count += 1
 
     def on_url(self, url):
         """Called by the parser with a part of the request target."""
@@ -227,7 +227,7 @@
             if self._in_head and self._head_bytes > self._limits.head_bytes:
                 raise _RefusedError(Code.HEADERS_TOO_LARGE, "the head is larger than allowed")
         except httptools.HttpParserUpgrade as upgrade:
-            # A server may ignore a protocol upgrade; the parser stops after it.
+            # A server may ignore a protocol upgrade. The parser stops after such a request.
             rest = chunk[upgrade.args[0] :]
             if rest:
                 self._feed(rest)
@@ -302,7 +302,7 @@
         if self._refusal is not None:
             self._send_refusal()
         elif not self._in_head:
-            self._start_body()
+            self._await_body()
         elif self._is_finishing and self._head_bytes == 0:
             self._end_connection()
         else:
@@ -314,7 +314,7 @@
         else:
             self._set_timeout(self._limits.head_timeout_ms, "head")
 
-    def _start_body(self):
+    def _await_body(self):
         self._set_timeout(self._limits.body_timeout_ms, "body")
         if self._continue_due:
             self._continue_due = False
@@ -335,7 +335,7 @@
     def _set_timeout(self, milliseconds, phase=None):
         # More bytes of the same head or body don't extend the timeout: a slow sender could hold the
         # connection for ever.
-        phase = phase and (phase, self._requests)
+        phase = phase and (phase, self._request_count)
         if phase is not None and phase == self._phase:
             return
         self._phase = phase
--- a/packages/node/src/camphorshelf_node/httpclient.py
+++ b/packages/node/src/camphorshelf_node/httpclient.py
@@ -94,8 +94,8 @@
         try:
             stream = dial(self._loop, self._address)
         except OSError as error:
-            failed = RequestFailure(f"no connection: {error.strerror}", sent=False)
-            self._loop.call_later(0, lambda: exchange.finish(failed))
+            failure = RequestFailure(f"no connection: {error.strerror}", sent=False)
+            self._loop.call_later(0, lambda: exchange.finish(failure))
             return
         self._open += 1
         _ClientConnection(self, stream).run(exchange)
@@ -170,14 +170,14 @@
 
     @property
     def stale(self):
-        """Whether the target has closed the connection or sent unexpected data."""
+        """Whether the server has closed the connection or sent unexpected data."""
         return self._stream.closed or self._stream.stale
 
     def run(self, exchange):
         self._exchange = exchange
         exchange.connection = self
         self._reader = ResponseReader(exchange.request.method, self._client._max_answer_bytes)
-        self._answered = False
+        self._data_received = False
         if self._connected:
             self._write()
 
@@ -211,8 +211,8 @@
         exchange = self._exchange
         if exchange.may_send is not None and not exchange.may_send():
             self._exchange = None
-            failed = RequestFailure("the request was withdrawn", exchange.sent)
-            self._finish(exchange, failed, keep=True)
+            failure = RequestFailure("the request was withdrawn", exchange.sent)
+            self._finish(exchange, failure, keep=True)
             return
         exchange.sent = True
         self._stream.write(render_request(exchange.request))
@@ -221,7 +221,7 @@
         if self._exchange is None:
             self._stream.close()
             return
-        self._answered = True
+        self._data_received = True
         try:
             self._reader.feed(data)
         except ResponseError as error:
@@ -243,9 +243,14 @@
         exchange, self._exchange = self._exchange, None
         if exchange is None:
             return
-        if self._reused and not self._answered and exchange.idempotent and not exchange.retried:
-            # The target closed an idle connection just as the request was sent. An idempotent
-            # request is sent again, as its caller would get an error although the target is
+        if (
+            self._reused
+            and not self._data_received
+            and exchange.idempotent
+            and not exchange.retried
+        ):
+            # The server closed an idle connection just as the request was sent. An idempotent
+            # request is sent again, as its caller would get an error although the server is
             # healthy. Any other request might run twice, so it fails.
             exchange.retry()
             return
--- a/packages/node/src/camphorshelf_node/links.py
+++ b/packages/node/src/camphorshelf_node/links.py
@@ -267,9 +267,9 @@
     def _watch_activity(self):
         # A connection can hang for good while new ones work. Without this check each call on it
         # would wait until its deadline, and new calls would be sent on it too. When no data
-        # arrives, not even the pong to a ping, new calls get a new connection. Calls in flight stay
-        # while the host is heard from by other means, as lost packets can delay a connection as
-        # long. If it isn't, they fail early enough to be sent elsewhere.
+        # arrives, not even the pong to a ping, new calls get a new connection. Calls in flight are
+        # kept while the host is heard from by other means, as lost packets can delay a connection
+        # for that long. Otherwise they fail, early enough to be sent elsewhere.
         self._watched_reads = self._channel.reads
         self._loop.call_later(self._silence_s / 2, self._check_activity)
 
@@ -435,7 +435,7 @@
         return RefusedMessage(0, int(code), reason, ran.value, retry_after_ms, load)
     status, headers, body = result
     if len(body) > _MAX_BODY_BYTES:
-        # Sent nevertheless, it would break the link and fail every other call on it.
+        # Sending it anyway would break the link and fail every other call on it.
         reason = "the response is larger than a link can carry"
         return RefusedMessage(0, int(Code.ANSWER_TOO_LARGE), reason, Ran.RAN.value, None, load)
     return AnswerMessage(0, status, headers, body, load)
@@ -454,4 +454,4 @@
 
 
 def _do_nothing():
-    """Cancels a message whose handler has not returned yet: there is nothing to do."""
+    """Does nothing; the cancel function of a message whose handler has not returned yet."""
--- a/packages/node/src/camphorshelf_node/listeners.py
+++ b/packages/node/src/camphorshelf_node/listeners.py
@@ -56,8 +56,8 @@
     def _on_accept(self, stream, peer):
         limits = self._settings.limits
         if len(self._connections) >= limits.caller_connections:
-            # In the listen backlog, the caller would wait for its own timeout; refused at once, it
-            # can go to another node.
+            # A connection left in the listen backlog would keep the caller waiting until its own
+            # timeout. A caller that is refused at once can connect to another node.
             reason = "the node has reached its limit of callers' connections"
             refusal = Refusal(Code.CONNECTION_LIMIT, reason, retry_after_ms=_RETRY_AFTER_MS)
             status, headers, body = render_refusal(refusal)
@@ -126,10 +126,10 @@
         # close it; it opens another for its next call, so no call is lost.
         excess_links = len(self._servers) - sum(self._servers.values())
         excess_links -= self._settings.entry.link_limit
-        for server, is_leaving in list(self._servers.items()):
+        for server, go_away_sent in list(self._servers.items()):
             if excess_links <= 0:
                 return
-            if not is_leaving and not server.busy:
+            if not go_away_sent and not server.busy:
                 self._servers[server] = True
                 server.send_go_away()
                 excess_links -= 1
--- a/packages/node/src/camphorshelf_node/localcall.py
+++ b/packages/node/src/camphorshelf_node/localcall.py
@@ -66,7 +66,7 @@
             self._answer(refusal)
 
     def refuse_suspect(self):
-        """Refuse a suspect that has to wait too long for the suspect that runs.
+        """Refuse this suspect: another one is running, and the queue is full or the wait timed out.
 
         :return: None.
         """
@@ -75,7 +75,7 @@
         self.refuse(Refusal(Code.SUSPECT_WAITING, reason, retry_after_ms=retry_after_ms))
 
     def wait_for_suspect(self):
-        """Wait until the running suspect ends, until a timeout or the call's deadline.
+        """Wait for the running suspect to end, at most until a timeout or the call's deadline.
 
         :return: None.
         """
@@ -136,7 +136,7 @@
     def _on_result(self, result):
         self._abandon = None
         if isinstance(result, RequestFailure):
-            self._on_failed(result)
+            self._on_failure(result)
             return
         self._admission_controller.finish(self, served=result.status < _MIN_SERVER_ERROR_STATUS)
         self._admission_controller.record_completed(self)
@@ -147,10 +147,10 @@
                 return
         self._answer(result)
 
-    def _on_failed(self, failed):
+    def _on_failure(self, failure):
         self._admission_controller.finish(self, served=False)
-        reason = f"the target failed: {failed.reason}"
-        if failed.sent:
+        reason = f"the target failed: {failure.reason}"
+        if failure.sent:
             self._admission_controller.crashes.record_lost(self, reason)
         elif self.pending_call.deadline > self._loop.now():
             self._answer(Refusal(Code.TARGET_UNREACHABLE, reason))
--- a/packages/node/src/camphorshelf_node/node.py
+++ b/packages/node/src/camphorshelf_node/node.py
@@ -30,7 +30,7 @@
     make_caller_filter,
     make_chain,
     make_deadline_filter,
-    make_identity_filter,
+    make_service_filter,
 )
 from .gossip import Gossip
 from .join import Join
@@ -175,7 +175,7 @@
             make_call_id_filter(self.incarnation),
             keyed_filter,
             make_configuration_filter(self._configuration),
-            make_identity_filter(self._roster.has_service),
+            make_service_filter(self._roster.has_service),
             make_caller_filter(settings.gate),
             make_deadline_filter(settings.limits, self._loop),
             ticket_forwarder.filter,
--- a/packages/node/src/camphorshelf_node/responsereader.py
+++ b/packages/node/src/camphorshelf_node/responsereader.py
@@ -78,7 +78,7 @@
 
     @property
     def skipped(self):
-        """The number of responses to other requests that came before it."""
+        """The number of responses to other requests that came before the expected response."""
         return self._skipped_count
 
     @property
@@ -91,7 +91,7 @@
 
         :param data: the bytes.
         :return: None.
-        :raises ResponseError: when the bytes are no valid response and none was complete before.
+        :raises ResponseError: when the bytes are not valid and no response was complete before.
         """
         if self._response is not None:
             self._has_trailing_data = True
--- a/packages/node/src/camphorshelf_node/versionguard.py
+++ b/packages/node/src/camphorshelf_node/versionguard.py
@@ -1,10 +1,10 @@
-"""Refuses calls while the configuration is not proved, and adds its version to answers."""
+"""Refuses calls while the configuration isn't proved current; adds its version to answers."""
 
 from camphorshelf_core.messages import RefusedMessage
 
 
 def make_configuration_filter(configuration):
-    """Make the filter that refuses calls while the configuration may be outdated.
+    """Make the filter that refuses callers' requests while the configuration isn't proved current.
 
     :param configuration: the node's :class:`~camphorshelf_node.config.Configuration`.
     :return: the filter.
@@ -21,7 +21,7 @@
 
 
 def guard_calls(handle, admission_controller, configuration):
-    """Wrap the handler of peers' calls with the same check.
+    """Wrap the handler of peers' calls to refuse them while the configuration isn't proved current.
 
     A node that has just started or resumed may not know yet that its own target is leaving.
     Without the check, an entry node that does not know either could send it new calls.
@@ -34,18 +34,18 @@
     """
 
     def guarded(message, reply):
-        def stamp(answer):
+        def reply_with_version(answer):
             load = answer.load._replace(config_version=configuration.local_version.version)
             reply(answer._replace(load=load))
 
         refusal = configuration.find_refusal()
         if refusal is None:
-            return handle(message, stamp)
+            return handle(message, reply_with_version)
         code, reason, ran, retry_after_ms = refusal
         refused = RefusedMessage(
             0, int(code), reason, ran.value, retry_after_ms, admission_controller.load
         )
-        stamp(refused)
+        reply_with_version(refused)
         return None
 
     return guarded
