--- a/packages/cli/src/camphorshelf_cli/logs.py
+++ b/packages/cli/src/camphorshelf_cli/logs.py
@@ -71,8 +71,8 @@
 
 
 def _precedes(result, hop, entry_hosts):
-    # An entry node's line is preceded by results with the same code; its last line by all that are
-    # left.
+    # The results with a line's code are placed before that line of the entry node; all results that
+    # remain are placed before its last line.
     if _stage(hop) == _LAST_STAGE:
         return True
     code = hop.fields.get("code")
--- a/packages/node/src/camphorshelf_node/claims.py
+++ b/packages/node/src/camphorshelf_node/claims.py
@@ -43,7 +43,7 @@
 
 
 class Claims:
-    """Runs calls with the same idempotency key at most once."""
+    """Runs the call of each idempotency key at most once."""
 
     def __init__(self, loop, settings, platform, dispatcher, replica, invariants, random):
         self._loop = loop
@@ -148,8 +148,8 @@
     def _write(self, action):
         key, attempt = action.key, action.record.attempt
 
-        def done(written):
-            self._carry_out(key, self._tracker.on_written(key, attempt, written))
+        def done(result):
+            self._carry_out(key, self._tracker.on_written(key, attempt, result))
 
         self._writer.write(action, done)
 
--- a/packages/node/src/camphorshelf_node/claimwriter.py
+++ b/packages/node/src/camphorshelf_node/claimwriter.py
@@ -81,16 +81,16 @@
     def _send(self, batch):
         self.in_flight += 1
 
-        def done(outcomes):
+        def done(results):
             self.in_flight -= 1
-            self._on_outcomes(batch, outcomes)
+            self._on_results(batch, results)
 
         self._platform.put_all_if([put for put, _, _ in batch], done)
 
-    def _on_outcomes(self, batch, outcomes):
-        is_cancelled = any(result.outcome is WriteOutcome.LOST for result in outcomes)
+    def _on_results(self, batch, results):
+        is_cancelled = any(result.outcome is WriteOutcome.LOST for result in results)
         to_retry = []
-        for (put, on_done, retries), result in zip(batch, outcomes, strict=True):
+        for (put, on_done, retries), result in zip(batch, results, strict=True):
             if (
                 is_cancelled
                 and result.outcome is WriteOutcome.NOT_APPLIED
@@ -114,12 +114,12 @@
         puts = [put for put, _, _ in batch]
         marks = [mark for _, mark, _ in batch]
         self._platform.put_all_if(
-            puts, lambda done: self._on_marks_written(marks, done), background=True
+            puts, lambda results: self._on_marks_written(marks, results), background=True
         )
 
-    def _on_marks_written(self, marks, outcomes):
+    def _on_marks_written(self, marks, results):
         self._is_marking = False
-        for mark, result in zip(marks, outcomes, strict=True):
+        for mark, result in zip(marks, results, strict=True):
             next_mark = self._next_mark(mark, result)
             if next_mark is not None:
                 self._marks.append(next_mark)
--- a/packages/node/src/camphorshelf_node/config.py
+++ b/packages/node/src/camphorshelf_node/config.py
@@ -41,6 +41,9 @@
 class Configuration:
     """Keeps the newest confirmed version of the configuration in force at this node.
 
+    A version is proved once the platform or enough peers report no newer one; see
+    :mod:`camphorshelf_core.versions`.
+
     ``polls`` counts the reads of the head row.
     """
 
@@ -238,9 +241,9 @@
     def _request_version(self, address, want_body, link=None, on_end=None):
         local_version, epoch = self._local_version, self._local_version.epoch
         link = link or self._open_link(address)
-        own = self._settings.listen.peers
+        own_address = self._settings.listen.peers
         message = VersionRequestMessage(
-            0, local_version.version, local_version.digest, own, want_body
+            0, local_version.version, local_version.digest, own_address, want_body
         )
 
         def done(answer):
@@ -334,15 +337,15 @@
 
     def _choose_partners(self):
         """Choose the partners from the members in use."""
-        own, settings = self._settings.name, self._settings
+        own_name, settings = self._settings.name, self._settings
         members = self._gossip.membership.replica.members()
         self._peers = {
-            member.node: member for member in members if member.in_use and member.node != own
+            member.node: member for member in members if member.in_use and member.node != own_name
         }
         self._max_roster_size = max(self._max_roster_size, len(self._peers) + 1)
         pairs = [(member.node, member.failure_domain) for member in self._peers.values()]
         count = settings.configuration.partners
-        names = choose_partners((own, settings.failure_domain), pairs, count)
+        names = choose_partners((own_name, settings.failure_domain), pairs, count)
         self._partners = tuple(self._peers[name].address for name in names)
 
 
--- a/packages/node/src/camphorshelf_node/crashes.py
+++ b/packages/node/src/camphorshelf_node/crashes.py
@@ -56,13 +56,14 @@
 
         def on_close():
             self._resolve(
-                lost_calls, self._quarantine.record_crash(self._suspect_calls(lost_calls))
+                lost_calls, self._quarantine.record_crash(self._take_suspect_calls(lost_calls))
             )
 
         stream.on_connect = on_connect
         stream.on_close = on_close
 
-    def _suspect_calls(self, lost_calls):
+    def _take_suspect_calls(self, lost_calls):
+        """Return the lost calls and the recently abandoned ones, and forget the latter."""
         now = self._loop.now()
         abandoned_calls = [call for call, expires_at in self._abandoned_calls if expires_at > now]
         self._abandoned_calls.clear()
--- a/packages/node/src/camphorshelf_node/descriptions.py
+++ b/packages/node/src/camphorshelf_node/descriptions.py
@@ -26,15 +26,15 @@
     }
 
 
-def describe_plan(planned):
+def describe_plan(stored_plan):
     """Describe a plan.
 
-    :param planned: the :class:`~camphorshelf_core.confirm.StoredPlan`.
+    :param stored_plan: the :class:`~camphorshelf_core.confirm.StoredPlan`.
     :return: the document.
     """
-    plan = planned.plan
+    plan = stored_plan.plan
     return {
-        "plan": planned.digest,
+        "plan": stored_plan.digest,
         "base": plan.base,
         "changes": [change._asdict() for change in plan.changes],
         "effect": list(plan.effect),
--- a/packages/node/src/camphorshelf_node/join.py
+++ b/packages/node/src/camphorshelf_node/join.py
@@ -90,10 +90,10 @@
         self._platform.query(PARTITION, on_rows, limit=CONTACT_ROWS, start_after=start_after)
 
     def _on_rows(self, rows):
-        own = self._settings.listen.peers
+        own_address = self._settings.listen.peers
         addresses = {row.address for row in _read_rows(rows)}
         addresses.update(self._settings.roster.contacts)
-        addresses.discard(own)
+        addresses.discard(own_address)
         if rows is not None and not addresses:
             self._finish("no other node exists")
             return
--- a/packages/node/src/camphorshelf_node/load.py
+++ b/packages/node/src/camphorshelf_node/load.py
@@ -16,7 +16,7 @@
 
 
 class LoadTracker:
-    """Own calls in flight, load reports, health and weights by target.
+    """Tracks own calls in flight, load reports, health and weights by target.
 
     ``round_trip`` is the :class:`~camphorshelf_core.spill.RoundTripEstimate`.
     """
@@ -235,7 +235,8 @@
             return
         if is_known and old.target == new.target:
             return
-        # The clock, load and health of the previous host or target don't apply to its replacement.
+        # The clock offset, load and health of the previous host or target don't apply to its
+        # replacement.
         # The view stays while calls to the previous one are in flight, since it counts them.
         view = self._views.get(new.node)
         if view is not None and not view.own_in_flight:
--- a/packages/node/src/camphorshelf_node/operators.py
+++ b/packages/node/src/camphorshelf_node/operators.py
@@ -103,7 +103,9 @@
     def _describe_service(self, name):
         config = self._configuration.services.get(name)
         intents = config.targets if config is not None else {}
-        candidates = {one.target: one for one in self._load_tracker.all_candidates(name)}
+        candidates = {
+            candidate.target: candidate for candidate in self._load_tracker.all_candidates(name)
+        }
         return {
             "owner": config.owner if config is not None else "",
             "targets": [
@@ -135,8 +137,8 @@
     def _create_plan(self, operator, updates, on_done):
         targets = {
             service: {
-                one.target: TargetCapacity(one.slots, one.failure_domain)
-                for one in self._load_tracker.all_candidates(service)
+                candidate.target: TargetCapacity(candidate.slots, candidate.failure_domain)
+                for candidate in self._load_tracker.all_candidates(service)
             }
             for service in {update.service for update in updates}
         }
@@ -146,7 +148,7 @@
     def _show_plan(self, operator, _request, digest, reply):
         def done(result):
             if isinstance(result, StoredPlan) and operator.team not in result.plan.confirmers:
-                # The same answer as core's for a plan that doesn't exist, so that it doesn't reveal
+                # The same refusal as for a plan that doesn't exist, so that it doesn't reveal
                 # whether another team has such a plan.
                 result = Refusal(Code.UNKNOWN_PLAN, "there is no plan with this digest")
             _reply_plan(reply, result, status=200)
@@ -193,13 +195,13 @@
             if isinstance(result, Refusal):
                 reply_refusal(reply, result)
             else:
-                versions = [self._describe_version(operator, one) for one in result]
+                versions = [self._describe_version(operator, document) for document in result]
                 reply(200, {"versions": versions})
 
         run_steps(history_steps(int(limit)), self._platform, done)
 
     def _describe_version(self, operator, document):
-        visible = [one for one in document.changes if self._can_see(operator, one.service)]
+        visible = [change for change in document.changes if self._can_see(operator, change.service)]
         if operator.team in document.confirmed_by:
             visible = list(document.changes)
         return {
@@ -214,15 +216,17 @@
 
     def _explain(self, operator, _request, call, reply):
         matching = [
-            one
-            for one in self._decisions.find(call)
-            if self._can_see(operator, one.fields.get("service"))
+            decision
+            for decision in self._decisions.find(call)
+            if self._can_see(operator, decision.fields.get("service"))
         ]
         if not matching:
             reason = "this node keeps no decision about a call with this id to your services"
             reply_refusal(reply, Refusal(Code.UNKNOWN_CALL, reason))
             return
-        decisions = [{"at": one.at, "kind": one.kind, **one.fields} for one in matching]
+        decisions = [
+            {"at": decision.at, "kind": decision.kind, **decision.fields} for decision in matching
+        ]
         reply(200, {"call": call, "node": self._settings.name, "decisions": decisions})
 
     def _list_quarantines(self, operator, _request, _argument, reply):
--- a/packages/node/src/camphorshelf_node/platform.py
+++ b/packages/node/src/camphorshelf_node/platform.py
@@ -16,9 +16,9 @@
 from .rows import (
     TABLE,
     Put,
-    describe_delete,
-    describe_key,
-    describe_put,
+    encode_delete,
+    encode_key,
+    encode_put,
     read_answer,
     read_query,
     read_row,
@@ -28,7 +28,8 @@
 _MAX_CONNECTIONS = 8
 _MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 _TABLE_API_VERSION = "DynamoDB_20120810"
-# Background requests, which nobody waits for, must leave this share of the budget to the others.
+# Background requests, which nobody waits for, are sent only while more than this share of the
+# budget is left for other requests.
 _BACKGROUND_RESERVE_SHARE = 0.5
 
 
@@ -72,7 +73,7 @@
         def done(result):
             on_done(True if result.outcome is WriteOutcome.APPLIED else None)
 
-        self._write("PutItem", describe_put(Put(partition, key, data, 1, conditional=False)), done)
+        self._write("PutItem", encode_put(Put(partition, key, data, 1, conditional=False)), done)
 
     def put_if(self, partition, key, data, expected, on_done, version=None):
         """Write a row if it still has the expected version.
@@ -88,7 +89,7 @@
         if version is None:
             version = (expected or 0) + 1
         put = Put(partition, key, data, version, expected)
-        self._write("PutItem", describe_put(put), on_done)
+        self._write("PutItem", encode_put(put), on_done)
 
     def put_all_if(self, puts, on_done, background=False):
         """Write several rows in one transaction if each still has its expected version.
@@ -100,10 +101,10 @@
         :return: None.
         """
         if len(puts) == 1:
-            body = describe_put(puts[0])
+            body = encode_put(puts[0])
             self._write("PutItem", body, lambda result: on_done([result]), background)
             return
-        body = {"TransactItems": [{"Put": describe_put(put)} for put in puts]}
+        body = {"TransactItems": [{"Put": encode_put(put)} for put in puts]}
 
         def done(result):
             on_done(read_write_results(result, len(puts)))
@@ -119,7 +120,7 @@
         :param on_done: called with the :class:`~camphorshelf_core.table.WriteResult`.
         :return: None.
         """
-        self._write("DeleteItem", describe_delete(partition, key, data), on_done, background=True)
+        self._write("DeleteItem", encode_delete(partition, key, data), on_done, background=True)
 
     def get(self, partition, key, on_done):
         """Read a row with strong consistency.
@@ -132,7 +133,7 @@
         """
         body = {
             "TableName": TABLE,
-            "Key": describe_key(partition, key),
+            "Key": encode_key(partition, key),
             "ConsistentRead": True,
         }
 
@@ -158,7 +159,9 @@
                 on_done(rows)
                 return
             self.query(
-                partition, lambda first: on_done(_merge_rows(rows, first)), limit - len(rows)
+                partition,
+                lambda first_rows: on_done(_merge_rows(rows, first_rows)),
+                limit - len(rows),
             )
 
         self._call_table("Query", _query_body(partition, limit, start_after), done)
@@ -225,7 +228,7 @@
         self._send(self._table, request, on_done, background)
 
     def _send(self, client, request, on_done, background=False):
-        reason = self._find_send_obstacle(background)
+        reason = self._admit_request(background)
         if reason is not None:
             self._loop.call_later(0, lambda: on_done(RequestFailure(reason, sent=False)))
             return
@@ -242,7 +245,8 @@
         timer = self._loop.call_later(self._timeout_s, on_timeout)
         cancel = client.send(request, done)
 
-    def _find_send_obstacle(self, background):
+    def _admit_request(self, background):
+        """Charge a request to the budget, or return the reason why it must not be sent."""
         now = self._loop.now()
         reserve = (
             self._settings.requests_per_second * _BACKGROUND_RESERVE_SHARE if background else 0
@@ -275,9 +279,9 @@
     if limit is not None:
         body["Limit"] = limit
     if start_after is not None:
-        body["ExclusiveStartKey"] = describe_key(partition, start_after)
+        body["ExclusiveStartKey"] = encode_key(partition, start_after)
     return body
 
 
-def _merge_rows(rows, following):
-    return None if following is None else {**following, **rows}
+def _merge_rows(rows, first_rows):
+    return None if first_rows is None else {**first_rows, **rows}
--- a/packages/node/src/camphorshelf_node/quarantine.py
+++ b/packages/node/src/camphorshelf_node/quarantine.py
@@ -51,7 +51,9 @@
         proceed(exchange)
 
     def check_call(self, call):
-        """Return the standing of a call that has arrived at its target's node.
+        """Record the crashes that a call's header reports, and return the call's standing.
+
+        Called at the target's node when the call arrives.
 
         :param call: the :class:`~camphorshelf_core.messages.CallMessage`.
         :return: the :class:`Standing` and the fingerprint; the latter is None if no crash is known.
--- a/packages/node/src/camphorshelf_node/rows.py
+++ b/packages/node/src/camphorshelf_node/rows.py
@@ -32,7 +32,7 @@
     expires: int | None = None
 
 
-def describe_key(partition, key):
+def encode_key(partition, key):
     """Encode a row's key.
 
     :param partition: the row's partition.
@@ -42,13 +42,13 @@
     return {"pk": {"S": partition}, "sk": {"S": key}}
 
 
-def describe_put(put):
+def encode_put(put):
     """Encode a write.
 
     :param put: the :class:`Put`.
     :return: the document.
     """
-    item = describe_key(put.partition, put.key)
+    item = encode_key(put.partition, put.key)
     item["doc"] = {"B": base64.b64encode(put.data).decode()}
     item["ver"] = {"N": str(put.version)}
     if put.expires is not None:
@@ -65,7 +65,7 @@
     return body
 
 
-def describe_delete(partition, key, data):
+def encode_delete(partition, key, data):
     """Encode the deletion of a row that must still have the same bytes.
 
     :param partition: the row's partition.
@@ -75,7 +75,7 @@
     """
     return {
         "TableName": TABLE,
-        "Key": describe_key(partition, key),
+        "Key": encode_key(partition, key),
         "ConditionExpression": "doc = :doc",
         "ExpressionAttributeValues": {":doc": {"B": base64.b64encode(data).decode()}},
     }
--- a/packages/node/src/camphorshelf_node/tickets.py
+++ b/packages/node/src/camphorshelf_node/tickets.py
@@ -70,7 +70,7 @@
         return TicketsMessage(0, tuple(tickets), None) if tickets else _mint_refusal(minted)
 
     def run(self, call, on_done):
-        """Run a call; with a ticket only if the ticket's call has not run yet.
+        """Run a call; if it carries a ticket, at most once.
 
         A repeated call gets the stored result, or waits for the result of the running one.
 
@@ -305,8 +305,8 @@
 def _record_bytes(result):
     if not isinstance(result, Response):
         return _RECORD_OVERHEAD_BYTES
-    headers = sum(len(name) + len(value) for name, value in result.headers)
-    return _RECORD_OVERHEAD_BYTES + headers + len(result.body)
+    header_bytes = sum(len(name) + len(value) for name, value in result.headers)
+    return _RECORD_OVERHEAD_BYTES + header_bytes + len(result.body)
 
 
 def _remove_callback(waiting, on_done):
