--- a/demo/load.py
+++ b/demo/load.py
@@ -1,4 +1,4 @@
-"""Callers of the demo: lookups and keyed orders without a pause, each answer noted."""
+"""Callers of the demo, which continuously send lookups and keyed orders and record the answers."""
 
 import itertools
 import threading
@@ -10,71 +10,86 @@
 
 _HIGHEST_MICROSECONDS = 60_000_000
 _PAUSE_SECONDS = 0.015
-_TRIES = 5
+_MAX_ATTEMPTS = 5
 
 
-class Tally:
-    """What the callers saw, of one kind of call."""
+class CallStats:
+    """Counts and latencies of one kind of call.
+
+    ``last_by_target`` has the monotonic time of each target's last successful answer.
+    """
 
     def __init__(self):
         self._lock = threading.Lock()
         self.calls = 0
         self.failed = 0
-        self.sent_again = 0
-        self.times = HdrHistogram(1, _HIGHEST_MICROSECONDS, 3)
+        self.resent = 0
+        self.latencies = HdrHistogram(1, _HIGHEST_MICROSECONDS, 3)
         self.last_by_target = {}
 
-    def note(self, seconds, answer, tries):
-        """Note one call's last answer."""
+    def record(self, seconds, answer, attempts):
+        """Record the last answer to a call.
+
+        :param seconds: the time from the first attempt to that answer.
+        :param answer: the :class:`standins.caller.Answer`.
+        :param attempts: the number of attempts.
+        """
         with self._lock:
             self.calls += 1
-            self.sent_again += tries - 1
+            self.resent += attempts - 1
             if answer.status != 200:
                 self.failed += 1
                 return
-            self.times.record_value(max(1, int(seconds * 1_000_000)))
+            self.latencies.record_value(max(1, int(seconds * 1_000_000)))
             self.last_by_target[answer.body.split()[0].decode()] = time.monotonic()
 
     def added_ms(self, direct, percentile):
-        """Tell how much longer than direct calls this kind takes."""
-        both = [one.times.get_value_at_percentile(percentile) for one in (self, direct)]
-        return (both[0] - both[1]) / 1000
+        """Compare a latency percentile with that of direct calls.
+
+        :param direct: the :class:`CallStats` of the direct calls.
+        :param percentile: the percentile, from 0 to 100.
+        :return: the added latency in milliseconds.
+        """
+        latencies = [
+            stats.latencies.get_value_at_percentile(percentile) for stats in (self, direct)
+        ]
+        return (latencies[0] - latencies[1]) / 1000
 
 
 class Load:
-    """Threads that call until they are stopped."""
+    """Threads that send calls until they are stopped."""
 
     def __init__(self):
         self._stopped = threading.Event()
         self._threads = []
         self._numbers = itertools.count(1)
-        self.lookups = Tally()
-        self.orders = Tally()
-        self.direct = Tally()
+        self.lookups = CallStats()
+        self.orders = CallStats()
+        self.direct = CallStats()
 
     def add_lookups(self, node):
-        """Look tags up through a node, and one in two straight at a target for comparison."""
+        """Start a thread that sends lookups through a node and, to compare, directly to its target."""
         self._start(lambda callers: self._look_up(callers, node))
 
     def add_orders(self, node):
-        """Place orders with a key through a node."""
+        """Start a thread that places orders with idempotency keys through a node."""
         self._start(lambda callers: self._order(callers, node))
 
     def stop(self):
-        """Stop, and wait for the calls in flight."""
+        """Stop the threads and wait for the calls in flight."""
         self._stopped.set()
         for thread in self._threads:
             thread.join()
 
-    def _start(self, act):
-        thread = threading.Thread(target=self._run, args=(act,))
+    def _start(self, send):
+        thread = threading.Thread(target=self._run, args=(send,))
         self._threads.append(thread)
         thread.start()
 
-    def _run(self, act):
+    def _run(self, send):
         callers = {}
         while not self._stopped.wait(_PAUSE_SECONDS):
-            act(callers)
+            send(callers)
         for caller in callers.values():
             caller.close()
 
@@ -89,14 +104,14 @@
         path = f"/orders?key={key}"
         self._call(callers, node.callers, self.orders, "POST", "orders", path, headers, b"tags")
 
-    def _call(self, callers, address, tally, method, service, path, headers=(), body=b""):
+    def _call(self, callers, address, stats, method, service, path, headers=(), body=b""):
         started = time.monotonic()
-        for tries in range(1, _TRIES + 1):
+        for attempts in range(1, _MAX_ATTEMPTS + 1):
             if address not in callers:
                 callers[address] = Caller(address)
             answer = callers[address].request(method, service, path, headers, body)
-            # Only what truly did not run may be sent again; anything else counts as it is.
-            if answer.headers.get("camphorshelf-ran") != "NOT_RUN" or tries == _TRIES:
+            # Only a call that did not run may be sent again; any other answer is recorded as it is.
+            if answer.headers.get("camphorshelf-ran") != "NOT_RUN" or attempts == _MAX_ATTEMPTS:
                 break
             time.sleep(int(answer.headers.get("retry-after-ms", 10)) / 1000)
-        tally.note(time.monotonic() - started, answer, tries)
+        stats.record(time.monotonic() - started, answer, attempts)
--- a/models/__init__.py
+++ b/models/__init__.py
@@ -1,1 +1,1 @@
-"""Small specifications of the core protocols, checked exhaustively by minicheck."""
+"""Models of the core protocols that minicheck explores exhaustively."""
--- a/models/claims.py
+++ b/models/claims.py
@@ -1,9 +1,10 @@
-"""The protocol of claims for one key: claim, read back, dispatch, void, resend, take over, crash.
+"""Model of the claim protocol for index idempotency key.
 
-Two entry nodes serve a few sends of one key. Every message to and from the table and the target
-may be late or lost, and a node may die at any moment. A pause needs no step of its own: a node
-that takes no step for a while is a paused node. docs/design/at-most-once.md maps each step to the
-code; :data:`MUTANTS` names the safeguards that the model can leave out.
+Two entry nodes serve a few sends of index key: they claim it, read back, dispatch, void, resend and
+take over. Every message to and from the table and the target may be late or lost, and a node may
+crash at any moment. A pause needs no step of its own, since a node that takes no step for a while
+behaves like a paused index. docs/design/at-most-once.md maps each step to the
+code; :data:`MUTANTS` names the safeguards that the model can omit.
 """
 
 from typing import NamedTuple
@@ -26,25 +27,31 @@
 )
 
 _NEW, _STARTED, _VOID, _FINISHED, _FORGOTTEN = "new", "started", "void", "finished", "forgotten"
-_OPEN, _MARKED_VOID, _MARKED_DONE = "open", "voided", "finished"
+_ROW_OPEN, _ROW_VOIDED, _ROW_FINISHED = "open", "voided", "finished"
 
 
 class Entry(NamedTuple):
-    """An entry node and the one send that it works on."""
+    """An entry node and the send that it handles.
+
+    ``attempt`` is the number of the attempt whose claim it writes in place of the row ``expected``;
+    ``found_row`` is the open row of another attempt. ``may_be_written`` says whether the write may
+    take effect although its answer was lost, ``is_known_not_run`` whether the key is known not to
+    have run, and ``had_run_before`` whether it had run before this send.
+    """
 
     incarnation: int = 0
     phase: str = "idle"
     attempt: int = 0
     expected: tuple = ()
-    in_doubt: bool = False
-    proven: bool = False
-    met: tuple = ()
-    had_run: bool = False
-    first: bool = False
+    may_be_written: bool = False
+    is_known_not_run: bool = False
+    found_row: tuple = ()
+    had_run_before: bool = False
+    is_first_send: bool = False
 
 
 class Attempt(NamedTuple):
-    """An attempt as its owner remembers it."""
+    """An attempt and its state in the registry of its owner."""
 
     node: int
     incarnation: int
@@ -52,7 +59,14 @@
 
 
 class State(NamedTuple):
-    """Everything at one moment; a row is its attempt and what it says of it."""
+    """The state of the whole system.
+
+    ``row`` is the claim's row: the number of an attempt and the state of that attempt in the row.
+    ``writes``, ``answers``, ``dispatched`` and ``results`` are the messages in flight. ``ran`` has
+    the attempts that ran, ``reported_not_run`` those that were reported as not run.
+    ``has_false_not_run`` says whether NOT_RUN was reported for a key that had run before the send.
+    ``sends`` and ``crashes`` are how many more of each may happen.
+    """
 
     row: tuple = ()
     entries: tuple = (Entry(), Entry())
@@ -62,20 +76,21 @@
     dispatched: frozenset = frozenset()
     results: frozenset = frozenset()
     ran: frozenset = frozenset()
-    told_not_run: frozenset = frozenset()
-    lied: bool = False
-    sent: bool = False
+    reported_not_run: frozenset = frozenset()
+    has_false_not_run: bool = False
+    is_key_sent: bool = False
     sends: int = SENDS
     crashes: int = CRASHES
 
 
 def make_model(mutant=None, after_void=False, crashes=None):
-    """Make the model.
+    """Create the model.
 
-    :param mutant: the safeguard to leave out, or None; its search ends at the first violation.
-    :param after_void: start where an earlier send of the key was refused as not run, and its
-        claim was marked void.
-    :param crashes: how often a node dies; 1, or after a void claim 0, if left out.
+    :param mutant: the safeguard to omit, or None; with a mutant, the search ends at the first
+        violation.
+    :param after_void: start in the state in which an earlier send of the key was refused as
+        not run and its claim was voided.
+    :param crashes: the number of node crashes; by default 1, or 0 with ``after_void``.
     :return: the :class:`minicheck.Protocol`.
     """
     violated = []
@@ -83,7 +98,7 @@
     if crashes is not None:
         initial = initial._replace(crashes=crashes)
 
-    def hold(predicate):
+    def record_violations(predicate):
         def check(state):
             holds = predicate(state)
             if not holds:
@@ -101,21 +116,22 @@
         fields=State._fields,
         initial=initial,
         transitions=list_steps,
-        invariants={name: hold(predicate) for name, predicate in _INVARIANTS.items()},
+        invariants={name: record_violations(predicate) for name, predicate in _INVARIANTS.items()},
     )
 
 
 _AFTER_VOID = State(
-    row=(1, _MARKED_VOID),
+    row=(1, _ROW_VOIDED),
     attempts=(Attempt(0, 0, _VOID),),
-    told_not_run=frozenset({1}),
-    sent=True,
+    reported_not_run=frozenset({1}),
+    is_key_sent=True,
     crashes=0,
 )
 _INVARIANTS = {
-    "runs at most once": lambda state: len(state["ran"]) <= 1,
-    "what was told not run never runs": lambda state: not state["told_not_run"] & state["ran"],
-    "NOT_RUN is true when it is said": lambda state: not state["lied"],
+    "the key runs at most once": lambda state: len(state["ran"]) <= 1,
+    "an attempt reported as not run never runs": lambda state: not state["reported_not_run"]
+    & state["ran"],
+    "NOT_RUN is true when it is reported": lambda state: not state["has_false_not_run"],
 }
 
 
@@ -132,26 +148,28 @@
     entry = state.entries[node]
     steps = []
     if entry.phase == "idle" and state.sends:
-        steps.append((f"send to {node}", _receive(state, node, mutant)))
+        steps.append((f"send to {node}", _receive_send(state, node, mutant)))
     elif entry.phase == "writing":
-        steps.append((f"{node}: no answer in time", _lose_answer(state, node, mutant)))
+        steps.append((f"{node}: the write times out", _time_out_write(state, node, mutant)))
     elif entry.phase == "reading":
-        steps.append((f"{node}: reads back", _read(state, node, mutant)))
-        steps.append((f"{node}: cannot read", _give_up(state, node, mutant)))
+        steps.append((f"{node}: reads back", _read_back(state, node, mutant)))
+        steps.append((f"{node}: the read fails", _give_up(state, node, mutant)))
     elif entry.phase == "asking":
-        steps.append((f"{node}: asks the owner", _ask(state, node, mutant)))
-        steps.append((f"{node}: cannot reach the owner", _end(state, node)))
+        steps.append((f"{node}: asks the owner", _ask_owner(state, node, mutant)))
+        steps.append((f"{node}: the owner is unreachable", _end_send(state, node)))
     if entry.phase in ("writing", "reading", "asking"):
-        steps.append((f"{node}: its caller leaves", _give_up(state, node, mutant)))
+        steps.append((f"{node}: its caller disconnects", _give_up(state, node, mutant)))
     if state.crashes:
-        steps.append((f"{node}: dies", _crash(state, node)))
+        steps.append((f"{node}: crashes", _crash_node(state, node)))
     return steps
 
 
-def _receive(state, node, mutant):
-    is_first = not state.sent
-    entry = Entry(state.entries[node].incarnation, had_run=bool(state.ran), first=is_first)
-    state = state._replace(sends=state.sends - 1, sent=True)
+def _receive_send(state, node, mutant):
+    is_first = not state.is_key_sent
+    entry = Entry(
+        state.entries[node].incarnation, had_run_before=bool(state.ran), is_first_send=is_first
+    )
+    state = state._replace(sends=state.sends - 1, is_key_sent=True)
     return _claim(_with_entry(state, node, entry), node, (), mutant)
 
 
@@ -163,57 +181,59 @@
     if mutant == "reuse_attempt" and void in attempts:
         attempt = attempts.index(void) + 1
     attempts = (*attempts[: attempt - 1], void._replace(state=_NEW), *attempts[attempt:])
-    entry = entry._replace(phase="writing", attempt=attempt, expected=expected, in_doubt=False)
-    writes = state.writes | {(attempt, expected, _OPEN)}
+    entry = entry._replace(
+        phase="writing", attempt=attempt, expected=expected, may_be_written=False
+    )
+    writes = state.writes | {(attempt, expected, _ROW_OPEN)}
     return _with_entry(state._replace(attempts=attempts, writes=writes), node, entry)
 
 
-def _lose_answer(state, node, mutant):
+def _time_out_write(state, node, mutant):
     entry = state.entries[node]
     if mutant == "dispatch_on_unknown":
         return _dispatch(state, node)
     if mutant == "drop_read_back":
-        state = _with_entry(state, node, entry._replace(proven=True, in_doubt=True))
+        state = _with_entry(state, node, entry._replace(is_known_not_run=True, may_be_written=True))
         return _give_up(state, node, mutant)
-    return _with_entry(state, node, entry._replace(phase="reading", in_doubt=True))
+    return _with_entry(state, node, entry._replace(phase="reading", may_be_written=True))
 
 
-def _read(state, node, mutant):
+def _read_back(state, node, mutant):
     entry = state.entries[node]
     if state.row == entry.expected:
-        state = _with_entry(state, node, entry._replace(proven=True))
+        state = _with_entry(state, node, entry._replace(is_known_not_run=True))
         return _give_up(state, node, mutant)
-    return _meet(state, node, state.row, mutant)
+    return _handle_existing_row(state, node, state.row, mutant)
 
 
-def _meet(state, node, row, mutant):
+def _handle_existing_row(state, node, row, mutant):
     entry = state.entries[node]
-    attempt, marked = row
-    if attempt == entry.attempt and marked == _OPEN:
+    attempt, row_state = row
+    if attempt == entry.attempt and row_state == _ROW_OPEN:
         return _dispatch(state, node)
     state = _set_attempt(state, entry.attempt, _VOID)
-    if marked == _MARKED_DONE:
-        return _end(state, node)
-    if marked == _MARKED_VOID:
+    if row_state == _ROW_FINISHED:
+        return _end_send(state, node)
+    if row_state == _ROW_VOIDED:
         return _take_over(state, node, row, mutant)
-    return _with_entry(state, node, entry._replace(phase="asking", met=row))
+    return _with_entry(state, node, entry._replace(phase="asking", found_row=row))
 
 
-def _ask(state, node, mutant):
-    met = state.entries[node].met
-    attempt = state.attempts[met[0] - 1]
+def _ask_owner(state, node, mutant):
+    found_row = state.entries[node].found_row
+    attempt = state.attempts[found_row[0] - 1]
     is_gone = state.entries[attempt.node].incarnation != attempt.incarnation
     is_void = not is_gone and attempt.state == _VOID
     is_void |= mutant == "take_over_gone" and is_gone
     is_void |= mutant == "take_over_running" and attempt.state in (_NEW, _STARTED)
     is_void |= mutant == "forgotten_is_void" and attempt.state == _FORGOTTEN
     if is_void:
-        return _take_over(state, node, met, mutant)
-    return _end(state, node)
+        return _take_over(state, node, found_row, mutant)
+    return _end_send(state, node)
 
 
 def _take_over(state, node, row, mutant):
-    state = _with_entry(state, node, state.entries[node]._replace(proven=True))
+    state = _with_entry(state, node, state.entries[node]._replace(is_known_not_run=True))
     return _claim(state, node, row, mutant)
 
 
@@ -221,18 +241,20 @@
     entry = state.entries[node]
     if mutant != "drop_void":
         state = _set_attempt(state, entry.attempt, _VOID)
-    if entry.in_doubt:
-        mark = (entry.attempt, entry.expected, _MARKED_VOID)
+    if entry.may_be_written:
+        mark = (entry.attempt, entry.expected, _ROW_VOIDED)
         state = state._replace(writes=state.writes | {mark})
-    if entry.proven or entry.first or mutant == "not_run_unproven":
-        state = _tell_not_run(state, node)
-    return _end(state, node)
+    if entry.is_known_not_run or entry.is_first_send or mutant == "not_run_unproven":
+        state = _report_not_run(state, node)
+    return _end_send(state, node)
 
 
-def _tell_not_run(state, node):
+def _report_not_run(state, node):
     entry = state.entries[node]
-    told = state.told_not_run | {entry.attempt}
-    return state._replace(told_not_run=told, lied=state.lied or entry.had_run)
+    reported = state.reported_not_run | {entry.attempt}
+    return state._replace(
+        reported_not_run=reported, has_false_not_run=state.has_false_not_run or entry.had_run_before
+    )
 
 
 def _dispatch(state, node):
@@ -242,7 +264,7 @@
     return _with_entry(state, node, state.entries[node]._replace(phase="running"))
 
 
-def _crash(state, node):
+def _crash_node(state, node):
     incarnation = state.entries[node].incarnation + 1
     state = state._replace(crashes=state.crashes - 1)
     return _with_entry(state, node, Entry(incarnation))
@@ -251,54 +273,66 @@
 def _table_steps(state, mutant):
     steps = []
     for write in state.writes:
-        attempt, expected, marked = write
-        left = state._replace(writes=state.writes - {write})
-        steps.append((f"write {write} takes effect", _apply(left, write, mutant)))
+        attempt, expected, row_state = write
+        remaining = state._replace(writes=state.writes - {write})
+        steps.append((f"write {write} takes effect", _apply_write(remaining, write, mutant)))
     for answer in state.answers:
-        attempt, met = answer
-        left = state._replace(answers=state.answers - {answer})
-        steps.append((f"answer {answer} comes", _on_answer(left, attempt, met, mutant)))
+        attempt, found_row = answer
+        remaining = state._replace(answers=state.answers - {answer})
+        steps.append(
+            (f"answer {answer} arrives", _on_write_answer(remaining, attempt, found_row, mutant))
+        )
     return steps
 
 
-def _apply(state, write, mutant):
-    attempt, expected, marked = write
-    blind = mutant == "overwrite_without_comparing" and expected and marked == _OPEN
-    if state.row == expected or blind:
-        state = state._replace(row=(attempt, marked))
+def _apply_write(state, write, mutant):
+    attempt, expected, row_state = write
+    skips_comparison = (
+        mutant == "overwrite_without_comparing" and expected and row_state == _ROW_OPEN
+    )
+    if state.row == expected or skips_comparison:
+        state = state._replace(row=(attempt, row_state))
         answer = (attempt, ())
-    elif marked == _OPEN:
+    elif row_state == _ROW_OPEN:
         answer = (attempt, state.row)
-    elif state.row == (attempt, _OPEN):
-        return state._replace(writes=state.writes | {(attempt, state.row, marked)})
+    elif state.row == (attempt, _ROW_OPEN):
+        return state._replace(writes=state.writes | {(attempt, state.row, row_state)})
     else:
         return state
-    if marked != _OPEN or not _awaits_answer(state, attempt, mutant):
+    if row_state != _ROW_OPEN or not _awaits_answer(state, attempt, mutant):
         return state
     return state._replace(answers=state.answers | {answer})
 
 
 def _awaits_answer(state, attempt, mutant):
-    """Tell whether an answer can still change anything; others are left out of the states."""
+    """Check whether an answer can still have an effect; others are omitted to save states."""
     owner = state.attempts[attempt - 1]
     entry = state.entries[owner.node]
     is_alive = entry.incarnation == owner.incarnation
-    is_waiting = entry.phase == "writing" and entry.attempt == attempt
-    return is_alive and (is_waiting or mutant == "drop_void")
+    is_awaiting = entry.phase == "writing" and entry.attempt == attempt
+    return is_alive and (is_awaiting or mutant == "drop_void")
 
 
-def _on_answer(state, attempt, met, mutant):
+def _on_write_answer(state, attempt, found_row, mutant):
     owner = state.attempts[attempt - 1]
     entry = state.entries[owner.node]
     is_alive = entry.incarnation == owner.incarnation
     if is_alive and entry.phase == "writing" and entry.attempt == attempt:
-        if not met:
+        if not found_row:
             return _dispatch(state, owner.node)
-        entry = entry._replace(proven=False)
-        return _meet(_with_entry(state, owner.node, entry), owner.node, met, mutant)
-    is_left = entry.attempt != attempt
-    if mutant == "drop_void" and is_alive and is_left and not met and owner.state == _NEW:
-        # The call was given up and is not void: its claim comes after all and is dispatched.
+        entry = entry._replace(is_known_not_run=False)
+        return _handle_existing_row(
+            _with_entry(state, owner.node, entry), owner.node, found_row, mutant
+        )
+    is_abandoned = entry.attempt != attempt
+    if (
+        mutant == "drop_void"
+        and is_alive
+        and is_abandoned
+        and not found_row
+        and owner.state == _NEW
+    ):
+        # The call was given up but not voided, so a late answer to its write still dispatches it.
         state = _set_attempt(state, attempt, _STARTED)
         return state._replace(dispatched=state.dispatched | {attempt})
     return state
@@ -307,16 +341,18 @@
 def _target_steps(state, mutant):
     steps = []
     for attempt in state.dispatched:
-        left = state._replace(dispatched=state.dispatched - {attempt})
-        ran = left._replace(ran=left.ran | {attempt}, results=left.results | {(attempt, True)})
+        remaining = state._replace(dispatched=state.dispatched - {attempt})
+        ran = remaining._replace(
+            ran=remaining.ran | {attempt}, results=remaining.results | {(attempt, True)}
+        )
         steps.append((f"{attempt} runs", ran))
-        refused = left._replace(results=left.results | {(attempt, False)})
+        refused = remaining._replace(results=remaining.results | {(attempt, False)})
         steps.append((f"{attempt} is refused as not run", refused))
-        steps.append((f"{attempt} is out of reach", _on_result(state, attempt, True)))
+        steps.append((f"{attempt} does not reach the target", _on_result(state, attempt, True)))
     for result in state.results:
-        left = state._replace(results=state.results - {result})
-        steps.append((f"result {result} comes", _on_result(left, *result)))
-        steps.append((f"result {result} is lost", _on_result(left, result[0], True)))
+        remaining = state._replace(results=state.results - {result})
+        steps.append((f"result {result} arrives", _on_result(remaining, *result)))
+        steps.append((f"result {result} is lost", _on_result(remaining, result[0], True)))
     for number, attempt in enumerate(state.attempts, 1):
         if attempt.state == _FINISHED and mutant == "forgotten_is_void":
             steps.append((f"{number} is forgotten", _set_attempt(state, number, _FORGOTTEN)))
@@ -326,27 +362,27 @@
 def _on_result(state, attempt, may_have_run):
     owner = state.attempts[attempt - 1]
     entry = state.entries[owner.node]
-    is_waiting = entry.phase == "running" and entry.attempt == attempt
-    if entry.incarnation != owner.incarnation or not is_waiting:
+    is_awaiting = entry.phase == "running" and entry.attempt == attempt
+    if entry.incarnation != owner.incarnation or not is_awaiting:
         return state
-    marked = _MARKED_DONE if may_have_run else _MARKED_VOID
-    state = state._replace(writes=state.writes | {(attempt, (attempt, _OPEN), marked)})
+    row_state = _ROW_FINISHED if may_have_run else _ROW_VOIDED
+    state = state._replace(writes=state.writes | {(attempt, (attempt, _ROW_OPEN), row_state)})
     state = _set_attempt(state, attempt, _FINISHED if may_have_run else _VOID)
     if not may_have_run:
-        state = _tell_not_run(state, owner.node)
-    return _end(state, owner.node)
+        state = _report_not_run(state, owner.node)
+    return _end_send(state, owner.node)
 
 
-def _end(state, node):
+def _end_send(state, node):
     return _with_entry(state, node, Entry(state.entries[node].incarnation))
 
 
-def _set_attempt(state, attempt, what):
-    changed = state.attempts[attempt - 1]._replace(state=what)
+def _set_attempt(state, attempt, new_state):
+    changed = state.attempts[attempt - 1]._replace(state=new_state)
     attempts = (*state.attempts[: attempt - 1], changed, *state.attempts[attempt:])
     return state._replace(attempts=attempts)
 
 
 def _with_entry(state, node, entry):
-    entries = tuple(entry if one == node else state.entries[one] for one in NODES)
+    entries = tuple(entry if index == node else state.entries[index] for index in NODES)
     return state._replace(entries=entries)
--- a/models/config.py
+++ b/models/config.py
@@ -1,20 +1,21 @@
-"""Models of confirming and of spreading the configuration, with mutants that must be caught.
+"""Models of how a configuration is confirmed and distributed, with mutants that must be caught.
 
-How the transitions map to the code:
+The labels of the transitions correspond to this code:
 
 =================  =============================================================================
 confirm model
 plan               ``camphorshelf_core.confirm.plan_steps``
-read head          the ``ReadRow`` and ``_settle`` at the start of ``confirm_steps``
-swap ...           the ``SwapRow`` of ``_swap``: answered, answer lost, late, or never applied
-read back          the ``ReadRow`` and ``_settle`` inside ``_swap``
-late write lands   a ``SwapRow`` that the table applies after its answer was given up
-spread model
-asks, answered     ``Configuration._read_head`` and ``_ask``, ``HeldVersion.on_head``, ``on_peer``
-fetches            ``Configuration._fetch`` and ``HeldVersion.adopt``
-freezes, wakes     ``HeldVersion.run`` and ``_begin``
-restarts           a new ``HeldVersion``
-serving            ``HeldVersion.find_refusal`` gives None
+read head          ``_read_head`` and ``_find_outcome`` in ``confirm_steps``
+write ...          ``CompareAndSetRow`` in ``_compare_and_set_head``: answered, answer lost, late or
+                   never applied
+read back          ``ReadRow`` and ``_find_outcome`` in ``_compare_and_set_head``
+late write         a ``CompareAndSetRow`` that the table applies after its answer timed out
+distribution model
+asks, answered     ``Configuration._request_proof``, ``LocalVersion.on_head`` and ``on_peer``
+fetches            ``Configuration._fetch`` and ``LocalVersion.install``
+freezes, resumes   ``LocalVersion.record_activity`` and ``_begin_epoch``
+restarts           a new ``LocalVersion``
+serving            ``LocalVersion.find_refusal`` returns None
 =================  =============================================================================
 """
 
@@ -23,91 +24,97 @@
 from minicheck import Protocol, check_safety
 
 MAX_STATES = 3_000_000
-_MAX_TRIES = 2
+_MAX_COMPARE_AND_SET_ATTEMPTS = 2
 _MAX_VERSION = 1
-CONFIRM_MUTANTS = ("compare without base", "skip read-back")
+CONFIRM_MUTANTS = ("write without comparing", "skip read-back")
 SPREAD_MUTANTS = (
     "apply lower version",
     "serve with no version",
-    "believe answers from before the freeze",
-    "believe unproved peers",
-    "believe one failure domain",
-    "ask no one after waking",
+    "accept answers from before the freeze",
+    "accept unproved peers",
+    "accept one failure domain",
+    "keep the proof after resuming",
 )
 
 
 class Operator(NamedTuple):
-    """One operator's confirm: ``late`` is a swap that the table may still apply."""
+    """One operator's confirm; ``late`` says whether the table may still apply a write of it."""
 
     phase: str = "idle"
     base: int = 0
     late: bool = False
-    tries: int = 0
+    attempts: int = 0
 
 
-def _apply_swap(chain, who, base, mutant):
-    if len(chain) == base or mutant == "compare without base":
-        return (*chain, who) if len(chain) < 4 else chain
+def _compare_and_set(chain, index, base, mutant):
+    if len(chain) == base or mutant == "write without comparing":
+        return (*chain, index) if len(chain) < 4 else chain
     return chain
 
 
-def _settle(chain, who, operator):
-    won = chain[operator.base] == who
+def _find_outcome(chain, index, operator):
+    won = chain[operator.base] == index
     return operator._replace(phase="won" if won else "lost")
 
 
-def _confirm_moves(chain, who, operator, mutant):
-    """List label, chain and operator after each thing that may happen to one operator."""
+def _operator_steps(chain, index, operator, mutant):
+    """Yield the label, new chain and new operator of each possible step of one operator."""
     phase, base = operator.phase, operator.base
     if operator.late:
-        landed = operator._replace(late=False)
-        yield "late write lands", _apply_swap(chain, who, base, mutant), landed
+        applied = operator._replace(late=False)
+        yield "late write", _compare_and_set(chain, index, base, mutant), applied
     if phase == "idle":
         yield "plan", chain, Operator("planned", len(chain))
     elif phase in ("planned", "unknown"):
-        if len(chain) > base and mutant != "compare without base":
-            yield "read head", chain, _settle(chain, who, operator)
+        if len(chain) > base and mutant != "write without comparing":
+            yield "read head", chain, _find_outcome(chain, index, operator)
         else:
-            yield "read head", chain, operator._replace(phase="swapping", tries=0)
-    elif phase == "swapping":
-        after = _apply_swap(chain, who, base, mutant)
+            yield "read head", chain, operator._replace(phase="writing", attempts=0)
+    elif phase == "writing":
+        after = _compare_and_set(chain, index, base, mutant)
         answered = "won" if after != chain else "reading"
         reading = operator._replace(phase="reading")
-        yield "swap answered", after, operator._replace(phase=answered)
-        yield "swap applied, answer lost", after, reading
-        yield "swap late", chain, reading._replace(late=True)
-        yield "swap never applied", chain, reading
+        yield "write answered", after, operator._replace(phase=answered)
+        yield "write applied, answer lost", after, reading
+        yield "write late", chain, reading._replace(late=True)
+        yield "write never applied", chain, reading
     elif phase == "reading":
-        yield "read back", chain, _read_back(chain, who, operator, mutant)
+        yield "read back", chain, _read_back(chain, index, operator, mutant)
 
 
-def _read_back(chain, who, operator, mutant):
+def _read_back(chain, index, operator, mutant):
     if mutant == "skip read-back":
         return operator._replace(phase="lost")
     if len(chain) > operator.base:
-        return _settle(chain, who, operator)
-    if operator.tries + 1 < _MAX_TRIES:
-        return operator._replace(phase="swapping", tries=operator.tries + 1)
+        return _find_outcome(chain, index, operator)
+    if operator.attempts + 1 < _MAX_COMPARE_AND_SET_ATTEMPTS:
+        return operator._replace(phase="writing", attempts=operator.attempts + 1)
     return operator._replace(phase="unknown")
 
 
 def make_confirm_model(mutant=None):
-    """Two operators plan and confirm; the chain is the versions by the plan that made them."""
+    """Create the model of two operators that plan and confirm.
+
+    ``chain`` lists the versions by the operator whose plan made them.
+
+    :param mutant: the mutant to explore, or None for the protocol as built.
+    :return: the :class:`minicheck.Protocol`.
+    """
 
     def transitions(state):
         chain, *operators = state
-        moves = []
-        for who, operator in enumerate(operators):
-            for label, new_chain, changed in _confirm_moves(chain, who, operator, mutant):
+        steps = []
+        for index, operator in enumerate(operators):
+            for label, new_chain, changed in _operator_steps(chain, index, operator, mutant):
                 new = [*operators]
-                new[who] = changed
-                moves.append((f"{'AB'[who]}: {label}", (new_chain, *new)))
-        return moves
+                new[index] = changed
+                steps.append((f"{'AB'[index]}: {label}", (new_chain, *new)))
+        return steps
 
-    def each(check):
+    def for_each_operator(check):
         def holds(fields):
             chain = fields["chain"]
-            return all(check(chain, who, fields["AB"[who]]) for who in range(2))
+            return all(check(chain, index, fields["AB"[index]]) for index in range(2))
 
         return holds
 
@@ -118,159 +125,181 @@
         initial=((), Operator(), Operator()),
         transitions=transitions,
         invariants={
-            "a plan comes into force at most once": each(
-                lambda chain, who, one: chain.count(who) <= 1
+            "a plan is put in force at most once": for_each_operator(
+                lambda chain, index, operator: chain.count(index) <= 1
             ),
-            "a plan follows the version it was made on": each(
-                lambda chain, who, one: who not in chain or chain.index(who) == one.base
+            "a plan follows the version it was made on": for_each_operator(
+                lambda chain, index, operator: index not in chain
+                or chain.index(index) == operator.base
             ),
-            "who was told won has won": each(
-                lambda chain, who, one: one.phase != "won"
-                or chain[one.base : one.base + 1] == (who,)
+            "a confirm reported as in force is in force": for_each_operator(
+                lambda chain, index, operator: operator.phase != "won"
+                or chain[operator.base : operator.base + 1] == (index,)
             ),
-            "who was told lost has lost": each(
-                lambda chain, who, one: one.phase != "lost" or who not in chain
+            "a confirm reported as a conflict is not in force": for_each_operator(
+                lambda chain, index, operator: operator.phase != "lost" or index not in chain
             ),
         },
     )
 
 
 class Peer(NamedTuple):
-    """A peer in a failure domain of its own."""
+    """A peer in its own failure domain; ``proved`` says whether its version is proved current."""
 
     version: int = 0
     proved: bool = False
 
 
-class Subject(NamedTuple):
-    """The node that starts, freezes and wakes; ``answer`` is the one on its way to it."""
+class Node(NamedTuple):
+    """The node that starts, freezes and resumes.
+
+    ``highest_version`` is the highest version that it ever had in force. ``required`` is the
+    version that its proof requires, -1 if not known yet. ``answered_peers`` and ``highest_answer``
+    are the proved peers that answered and their highest version. ``platform_floor`` and
+    ``peer_floor`` are the versions that a proof by the platform or by peers must reach at least.
+    ``answer`` is the answer in flight to the node, or None.
+    """
 
     running: bool = True
     version: int = 0
-    peak: int = 0
+    highest_version: int = 0
     proof: str = ""
-    need: int = -1
+    required: int = -1
     outage_seen: bool = False
-    heard: frozenset = frozenset()
-    best: int = 0
+    answered_peers: frozenset = frozenset()
+    highest_answer: int = 0
     platform_floor: int = 0
     peer_floor: int = 0
     answer: tuple | None = None
 
 
-def _begin_epoch(subject, head, peers, mutant):
-    """Forget every proof; what is on its way was asked in an earlier epoch."""
-    answer = subject.answer and (*subject.answer[:-1], "old")
-    fresh = Subject(
-        version=subject.version,
-        peak=subject.peak,
+def _begin_epoch(node, head, peers, mutant):
+    """Discard the proof; an answer in flight belongs to a request of an earlier epoch."""
+    answer = node.answer and (*node.answer[:-1], "old")
+    fresh = Node(
+        version=node.version,
+        highest_version=node.highest_version,
         platform_floor=head,
         peer_floor=max((peer.version for peer in peers if peer.proved), default=0),
         answer=answer,
     )
     if mutant == "serve with no version":
         return fresh._replace(proof="platform")
-    if mutant == "ask no one after waking" and not subject.running:
-        return fresh._replace(proof=subject.proof)
+    if mutant == "keep the proof after resuming" and not node.running:
+        return fresh._replace(proof=node.proof)
     return fresh
 
 
-def _prove(subject, source):
-    if not subject.proof and subject.need >= 0 and subject.version >= subject.need:
-        return subject._replace(proof=source)
-    return subject
+def _update_proof(node, source):
+    if not node.proof and node.required >= 0 and node.version >= node.required:
+        return node._replace(proof=source)
+    return node
 
 
-def _weigh(subject, mutant):
-    wanted = 1 if mutant == "believe one failure domain" else 2
-    if subject.outage_seen and subject.need < 0 and len(subject.heard) >= wanted:
-        return _prove(subject._replace(need=subject.best), "peers")
-    return subject
+def _evaluate_peers(node, mutant):
+    required_domains = 1 if mutant == "accept one failure domain" else 2
+    if node.outage_seen and node.required < 0 and len(node.answered_peers) >= required_domains:
+        return _update_proof(node._replace(required=node.highest_answer), "peers")
+    return node
 
 
-def _deliver(subject, mutant):
-    kind, *fields, age = subject.answer
-    subject = subject._replace(answer=None)
-    if age == "old" and mutant != "believe answers from before the freeze":
-        return subject
+def _receive_answer(node, mutant):
+    kind, *fields, age = node.answer
+    node = node._replace(answer=None)
+    if age == "old" and mutant != "accept answers from before the freeze":
+        return node
     if kind == "no answer":
-        return _weigh(subject._replace(outage_seen=True), mutant)
+        return _evaluate_peers(node._replace(outage_seen=True), mutant)
     if kind == "head":
-        return _prove(subject._replace(need=fields[0]), "platform")
+        return _update_proof(node._replace(required=fields[0]), "platform")
     number, peer = fields
-    if not peer.proved and mutant != "believe unproved peers":
-        return subject
-    heard, best = subject.heard | {number}, max(subject.best, peer.version)
-    return _weigh(subject._replace(heard=heard, best=best), mutant)
+    if not peer.proved and mutant != "accept unproved peers":
+        return node
+    answered_peers, highest_answer = node.answered_peers | {number}, max(
+        node.highest_answer, peer.version
+    )
+    return _evaluate_peers(
+        node._replace(answered_peers=answered_peers, highest_answer=highest_answer), mutant
+    )
 
 
-def _fetch(subject, version, mutant):
-    if version <= subject.version and mutant != "apply lower version":
-        return subject
-    peak = max(subject.peak, version)
-    return _prove(subject._replace(version=version, peak=peak), "platform")
+def _fetch(node, version, mutant):
+    if version <= node.version and mutant != "apply lower version":
+        return node
+    highest_version = max(node.highest_version, version)
+    return _update_proof(
+        node._replace(version=version, highest_version=highest_version), "platform"
+    )
 
 
-def _subject_moves(head, up, peers, subject, mutant):
-    yield "restarts", _begin_epoch(Subject(answer=None), head, peers, mutant)
-    if not subject.running:
-        yield "wakes", _begin_epoch(subject, head, peers, mutant)
+def _node_steps(head, up, peers, node, mutant):
+    yield "restarts", _begin_epoch(Node(answer=None), head, peers, mutant)
+    if not node.running:
+        yield "resumes", _begin_epoch(node, head, peers, mutant)
         return
-    yield "freezes", subject._replace(running=False)
-    if subject.answer is not None:
-        yield "is answered", _deliver(subject, mutant)
+    yield "freezes", node._replace(running=False)
+    if node.answer is not None:
+        yield "is answered", _receive_answer(node, mutant)
     else:
         asked = ("head", head, "new") if up else ("no answer", "new")
-        yield "asks the platform", subject._replace(answer=asked)
+        yield "asks the platform", node._replace(answer=asked)
         for number, peer in enumerate(peers):
-            yield f"asks peer {number}", subject._replace(answer=("peer", number, peer, "new"))
+            yield f"asks peer {number}", node._replace(answer=("peer", number, peer, "new"))
     for version in range(head + 1):
-        yield f"fetches version {version}", _fetch(subject, version, mutant)
+        yield f"fetches version {version}", _fetch(node, version, mutant)
 
 
-def _peer_moves(head, up, peers):
+def _peer_steps(head, up, peers):
     for number, peer in enumerate(peers):
         if up:
             yield f"peer {number} asks the platform", number, Peer(head, True)
         yield f"peer {number} restarts", number, Peer()
-        heard = max(peer.version, peers[1 - number].version)
-        yield f"peer {number} hears from the other", number, peer._replace(version=heard)
+        newest = max(peer.version, peers[1 - number].version)
+        yield f"peer {number} receives the other peer's version", number, peer._replace(
+            version=newest
+        )
 
 
 def make_spread_model(mutant=None):
-    """A node and two peers, each in its own failure domain, through outages and freezes."""
+    """Create the model of a node and two peers through outages and freezes.
+
+    Each is in its own failure domain.
+
+    :param mutant: the mutant to explore, or None for the protocol as built.
+    :return: the :class:`minicheck.Protocol`.
+    """
 
     def transitions(state):
-        head, up, one, two, subject = state
+        head, up, one, two, node = state
         peers = (one, two)
-        moves = [("the platform fails or comes back", (head, not up, one, two, subject))]
+        steps = [("the platform fails or recovers", (head, not up, one, two, node))]
         if up and head < _MAX_VERSION:
-            moves.append(("a plan is confirmed", (head + 1, up, one, two, subject)))
-        for label, number, peer in _peer_moves(head, up, peers):
+            steps.append(("a plan is confirmed", (head + 1, up, one, two, node)))
+        for label, number, peer in _peer_steps(head, up, peers):
             changed = (peer, two) if number == 0 else (one, peer)
-            moves.append((label, (head, up, *changed, subject)))
-        for label, changed in _subject_moves(head, up, peers, subject, mutant):
-            moves.append((f"the node {label}", (head, up, one, two, changed)))
-        return moves
-
-    def floor(fields):
-        subject = fields["node"]
-        if not subject.running or not subject.proof:
+            steps.append((label, (head, up, *changed, node)))
+        for label, changed in _node_steps(head, up, peers, node, mutant):
+            steps.append((f"the node {label}", (head, up, one, two, changed)))
+        return steps
+
+    def is_not_behind_proof(fields):
+        node = fields["node"]
+        if not node.running or not node.proof:
             return True
-        by_platform = subject.proof == "platform"
-        return subject.version >= (subject.platform_floor if by_platform else subject.peer_floor)
+        by_platform = node.proof == "platform"
+        return node.version >= (node.platform_floor if by_platform else node.peer_floor)
 
-    initial = _begin_epoch(Subject(), 0, (), mutant)
+    initial = _begin_epoch(Node(), 0, (), mutant)
     return Protocol(
-        name=f"spread ({mutant or 'as built'})",
+        name=f"distribution ({mutant or 'as built'})",
         candidate=False,
         fields=("head", "up", "p0", "p1", "node"),
         initial=(0, True, Peer(), Peer(), initial),
         transitions=transitions,
         invariants={
-            "a process never goes back": lambda fields: fields["node"].version
-            >= fields["node"].peak,
-            "a serving node is not behind what its proof must reach": floor,
+            "a process never returns to an older version": lambda fields: fields["node"].version
+            >= fields["node"].highest_version,
+            "a serving node is not behind what its proof requires": is_not_behind_proof,
         },
     )
 
@@ -278,11 +307,12 @@
 def check(model):
     """Explore every state of a model.
 
-    :param model: the ``Protocol``.
-    :return: the pair of the number of states and the names of the violated invariants.
+    :param model: the :class:`minicheck.Protocol`.
+    :return: the number of reachable states, and the names of the violated invariants.
+    :raises AssertionError: when the model could not be explored completely.
     """
     result = check_safety(model, max_states=MAX_STATES)
     if not result["exhaustive"]:
-        raise AssertionError("the model was not explored to its end")
+        raise AssertionError(f"the model was not explored completely within {MAX_STATES} states")
     broken = [name for name, one in result["properties"].items() if not one["holds"]]
     return result["reachable_states"], broken
--- a/models/members.py
+++ b/models/members.py
@@ -1,10 +1,11 @@
-"""The protocol of members: tell, suspect, refute, leave, restart, forget.
-
-One address, at which one process follows another, and two observers; the second one forwards to
-the first what it is told. Datagrams arrive in any order, at any later time, twice or never. A
-member that is cut off needs no step of its own: it is one whose datagrams have not arrived yet.
-Time is left out: a suspicion may come into force at any moment. docs/design/fleet.md maps the
-properties to the code; :data:`MUTANTS` names the safeguards that the model can leave out.
+"""Model of the membership protocol: send status, suspect, refute, leave, restart and forget.
+
+The model has one address, at which processes run one after the other, and two observers. The second
+observer forwards the statuses that it receives to the first. Datagrams arrive in any order, after
+any delay, twice or never. A member without a network needs no step of its own, since its datagrams
+just have not arrived yet. Time is omitted: an observer may suspect a member at any moment.
+docs/design/fleet.md maps the properties to the code; :data:`MUTANTS` names the safeguards that the
+model can omit.
 """
 
 from typing import NamedTuple
@@ -26,21 +27,21 @@
 )
 
 _MEMBER = "member"
-_FORWARDING = 1
-_FIRST = 9
+_FORWARDER = 1
+_FIRST_INCARNATION = 9
 
 
 class Member(NamedTuple):
-    """The process that runs at the address."""
+    """The process that runs at the address; ``process`` numbers the processes in their order."""
 
     process: int = 1
-    incarnation: tuple = (_FIRST,)
+    incarnation: tuple = (_FIRST_INCARNATION,)
     sequence: int = 0
     left: bool = False
 
 
 class Status(NamedTuple):
-    """A member's word on itself; the process is known to the properties only."""
+    """A member's status as sent to one observer; only the properties read ``process``."""
 
     to: int
     process: int
@@ -50,14 +51,14 @@
 
 
 class Suspicion(NamedTuple):
-    """An observer's word that an incarnation has not answered."""
+    """An observer's announcement that an incarnation did not respond."""
 
     to: object
     incarnation: tuple
 
 
 class View(NamedTuple):
-    """What an observer holds of the address; an incarnation of () is none."""
+    """An observer's view of the address; without a known status, the incarnation is ()."""
 
     process: int = 0
     incarnation: tuple = ()
@@ -67,25 +68,25 @@
     past: tuple = ()
 
 
-class Heard(NamedTuple):
-    """All that an observer was ever told, whatever it made of it; for the properties only."""
+class Received(NamedTuple):
+    """What an observer has received, whether applied or not; only the properties read it."""
 
     process: int = 0
     newest: tuple = ((), 0)
     left: frozenset = frozenset()
-    # What was held when the suspicion came into force.
+    # The order of the status that the observer held when it began to suspect the member.
     suspected: tuple = ()
 
 
 class State(NamedTuple):
-    """Everything at one moment, and how much more may happen."""
+    """The state of the whole system, and how many more events of each kind may happen."""
 
     member: Member = Member()
     views: tuple = (View(), View())
-    heard: tuple = (Heard(), Heard())
-    wire: frozenset = frozenset()
-    accused: frozenset = frozenset()
-    is_unanswered: bool = False
+    received: tuple = (Received(), Received())
+    in_flight: frozenset = frozenset()
+    suspected_incarnations: frozenset = frozenset()
+    has_unrefuted_suspicion: bool = False
     tells: int = 2
     restarts: int = 1
     suspicions: int = 2
@@ -93,17 +94,19 @@
 
 
 def make_model(mutant=None, is_clock_behind=False, **budgets):
-    """Make the model.
-
-    :param mutant: the safeguard to leave out, or None; its search ends at the first violation.
-    :param is_clock_behind: whether the next process draws an incarnation below that of the one
-        before, as on a host whose clock is behind.
-    :param budgets: how often a member tells, restarts, is suspected, and a datagram is doubled.
+    """Create the model.
+
+    :param mutant: the safeguard to omit, or None; with a mutant, the search ends at the first
+        violation.
+    :param is_clock_behind: whether each new process chooses a lower incarnation than its
+        predecessor, as on a host whose clock is behind.
+    :param budgets: the number of statuses sent (``tells``), restarts, suspicions and duplicated
+        datagrams (``doubles``).
     :return: the :class:`minicheck.Protocol`.
     """
     violated = []
 
-    def hold(predicate):
+    def record_violations(predicate):
         def check(fields):
             holds = predicate(fields, mutant)
             if not holds:
@@ -117,73 +120,80 @@
             return []
         return _list_steps(State(*state), mutant, is_clock_behind)
 
-    chosen = _SURE if is_clock_behind else {**_SURE, **_BY_CLOCK}
+    invariants = (
+        _CLOCK_INDEPENDENT if is_clock_behind else {**_CLOCK_INDEPENDENT, **_CLOCK_DEPENDENT}
+    )
     return Protocol(
         name=f"members without {mutant}" if mutant else "members",
         candidate=mutant is not None,
         fields=State._fields,
         initial=State(**budgets),
         transitions=list_steps,
-        invariants={name: hold(predicate) for name, predicate in chosen.items()},
+        invariants={name: record_violations(predicate) for name, predicate in invariants.items()},
     )
 
 
-def _is_ended_not_live(fields, mutant):
-    for view, heard in zip(fields["views"], fields["heard"], strict=True):
+def _is_ended_process_not_live(fields, mutant):
+    for view, received in zip(fields["views"], fields["received"], strict=True):
         is_live = view.process and not view.left and not view.is_suspected
-        if is_live and (view.process < heard.process or view.process in heard.left):
+        if is_live and (view.process < received.process or view.process in received.left):
             return False
     return True
 
 
-def _is_older_rejected(fields, mutant):
-    pairs = zip(fields["views"], fields["heard"], strict=True)
-    return all(not view.process or view.process >= heard.process for view, heard in pairs)
+def _is_older_process_rejected(fields, mutant):
+    pairs = zip(fields["views"], fields["received"], strict=True)
+    return all(not view.process or view.process >= received.process for view, received in pairs)
 
 
-def _is_growing(fields, mutant):
-    pairs = zip(fields["views"], fields["heard"], strict=True)
-    return all(not view.process or _place(view) >= heard.newest for view, heard in pairs)
+def _is_newest_status_held(fields, mutant):
+    pairs = zip(fields["views"], fields["received"], strict=True)
+    return all(
+        not view.process or _status_order(view) >= received.newest for view, received in pairs
+    )
 
 
-def _is_suspicion_of_held(fields, mutant):
-    pairs = zip(fields["views"], fields["heard"], strict=True)
+def _is_suspicion_current(fields, mutant):
+    pairs = zip(fields["views"], fields["received"], strict=True)
     return all(
-        view.is_suspected == (bool(view.process) and heard.suspected == _place(view))
-        for view, heard in pairs
+        view.is_suspected == (bool(view.process) and received.suspected == _status_order(view))
+        for view, received in pairs
     )
 
 
-def _is_accused(fields, mutant):
+def _is_suspect_announced(fields, mutant):
     return all(
-        not view.is_suspected or view.incarnation in fields["accused"] for view in fields["views"]
+        not view.is_suspected or view.incarnation in fields["suspected_incarnations"]
+        for view in fields["views"]
     )
 
 
-def _is_suspicion_answered(fields, mutant):
-    return not fields["is_unanswered"]
+def _is_suspicion_refuted(fields, mutant):
+    return not fields["has_unrefuted_suspicion"]
 
 
-def _is_answer_believed(fields, mutant):
+def _is_probe_response_accepted(fields, mutant):
     for number, view in enumerate(fields["views"]):
-        member = _speak(_outbid(fields["member"], view.incarnation, mutant), mutant)
-        held = _take(view, Status(number, *member), mutant)
+        member = _increment_sequence(
+            _raise_incarnation(fields["member"], view.incarnation, mutant), mutant
+        )
+        held = _apply_status(view, Status(number, *member), mutant)
         if held.process != member.process or held.is_suspected:
             return False
     return True
 
 
-# Those that hold whatever the hosts' clocks show, and those that need them in order.
-_SURE = {
-    "knowledge of an incarnation only grows": _is_growing,
-    "a refutation ends the suspicion, and nothing older does": _is_suspicion_of_held,
-    "who is suspected was accused under this incarnation": _is_accused,
-    "a live member contradicts a suspicion that it hears": _is_suspicion_answered,
-    "the answer of a live member to a probe is believed": _is_answer_believed,
+# Properties that hold whatever the hosts' clocks show, and those that need clocks in order.
+_CLOCK_INDEPENDENT = {
+    "an observer holds the newest status that it received": _is_newest_status_held,
+    "only a newer status ends a suspicion": _is_suspicion_current,
+    "a suspected incarnation was announced as suspected": _is_suspect_announced,
+    "a live member refutes each suspicion that it receives": _is_suspicion_refuted,
+    "a probe response of a live member is accepted": _is_probe_response_accepted,
 }
-_BY_CLOCK = {
-    "what has left or was followed is not live again": _is_ended_not_live,
-    "an older incarnation does not replace a newer one": _is_older_rejected,
+_CLOCK_DEPENDENT = {
+    "a process that left or was replaced does not count as live again": _is_ended_process_not_live,
+    "an older process does not replace a newer one": _is_older_process_rejected,
 }
 
 
@@ -191,13 +201,13 @@
     steps = _member_steps(state, mutant, is_clock_behind)
     for number in OBSERVERS:
         steps += _observer_steps(state, number, mutant)
-    for message in state.wire:
-        arrived = _arrive(state, message, mutant)
-        left = arrived._replace(wire=arrived.wire - {message})
+    for message in state.in_flight:
+        delivered = _deliver(state, message, mutant)
+        left = delivered._replace(in_flight=delivered.in_flight - {message})
         steps.append((f"{message} arrives", left))
         if state.doubles:
-            kept = arrived._replace(doubles=state.doubles - 1)
-            steps.append((f"{message} arrives, and will once more", kept))
+            kept = delivered._replace(doubles=state.doubles - 1)
+            steps.append((f"{message} arrives and is duplicated", kept))
     return steps
 
 
@@ -205,98 +215,114 @@
     steps = []
     member = state.member
     if state.tells and not member.left:
-        fewer = state._replace(tells=state.tells - 1)
-        steps.append(("the member tells its status", _tell(fewer, _speak(member))))
-        leaving = _speak(member._replace(left=True))
-        steps.append(("the member leaves", _tell(fewer, leaving)))
+        with_fewer = state._replace(tells=state.tells - 1)
+        steps.append(
+            ("the member sends its status", _send_status(with_fewer, _increment_sequence(member)))
+        )
+        leaving = _increment_sequence(member._replace(left=True))
+        steps.append(("the member leaves", _send_status(with_fewer, leaving)))
     if state.restarts:
-        fewer = state._replace(restarts=state.restarts - 1)
-        follower = _speak(_follow(member, mutant, is_clock_behind))
-        steps.append(("the next process starts", _tell(fewer, follower)))
+        with_fewer = state._replace(restarts=state.restarts - 1)
+        next_process = _increment_sequence(_next_process(member, mutant, is_clock_behind))
+        steps.append(("the next process starts", _send_status(with_fewer, next_process)))
     return steps
 
 
-def _follow(member, mutant, is_clock_behind):
+def _next_process(member, mutant, is_clock_behind):
     process = member.process + 1
-    drawn = (_FIRST - member.process if is_clock_behind else _FIRST + member.process,)
+    incarnation = (
+        (
+            _FIRST_INCARNATION - member.process
+            if is_clock_behind
+            else _FIRST_INCARNATION + member.process
+        ),
+    )
     if mutant == "reuse_incarnation":
-        drawn = member.incarnation
-    return Member(process, drawn)
+        incarnation = member.incarnation
+    return Member(process, incarnation)
 
 
-def _speak(member, mutant=None):
+def _increment_sequence(member, mutant=None):
     if mutant == "refute_without_sequence":
         return member
     return member._replace(sequence=member.sequence + 1)
 
 
-def _outbid(member, incarnation, mutant):
+def _raise_incarnation(member, incarnation, mutant):
     if incarnation <= member.incarnation or mutant == "never_outbid":
         return member
-    # Chance may favour the earlier of two processes that outbid the same one.
-    chance = _FIRST - member.process
-    return member._replace(incarnation=(*incarnation, chance))
+    # The random part may be greater for the earlier of two processes that exceed the same
+    # incarnation.
+    random_part = _FIRST_INCARNATION - member.process
+    return member._replace(incarnation=(*incarnation, random_part))
 
 
-def _tell(state, member):
-    said = {Status(number, *member) for number in OBSERVERS}
-    return state._replace(member=member, wire=state.wire | said)
+def _send_status(state, member):
+    sent = {Status(number, *member) for number in OBSERVERS}
+    return state._replace(member=member, in_flight=state.in_flight | sent)
 
 
 def _observer_steps(state, number, mutant):
     view = state.views[number]
     steps = []
     if state.suspicions and view.process and not view.is_suspected:
-        steps.append((f"{number} gets no answer and suspects", _accuse(state, number)))
-    is_overdue = any(isinstance(message, Status) for message in state.wire)
+        steps.append(
+            (
+                f"{number} gets no response and suspects the member",
+                _suspect_silent_member(state, number),
+            )
+        )
+    is_overdue = any(isinstance(message, Status) for message in state.in_flight)
     if view.is_suspected and (not is_overdue or mutant == "forget_early"):
-        heard = state.heard[number]._replace(newest=((), 0), suspected=())
-        steps.append((f"{number} forgets", _with_view(state, number, View(), heard)))
+        received = state.received[number]._replace(newest=((), 0), suspected=())
+        steps.append((f"{number} forgets the member", _with_view(state, number, View(), received)))
     return steps
 
 
-def _accuse(state, number):
+def _suspect_silent_member(state, number):
     incarnation = state.views[number].incarnation
-    said = {Suspicion(to, incarnation) for to in (_MEMBER, 1 - number)}
+    sent = {Suspicion(to, incarnation) for to in (_MEMBER, 1 - number)}
     state = state._replace(
         suspicions=state.suspicions - 1,
-        accused=state.accused | {incarnation},
-        wire=state.wire | said,
+        suspected_incarnations=state.suspected_incarnations | {incarnation},
+        in_flight=state.in_flight | sent,
     )
     return _suspect(state, number)
 
 
 def _suspect(state, number):
     view = state.views[number]
-    heard = state.heard[number]._replace(suspected=_place(view))
-    return _with_view(state, number, view._replace(is_suspected=True), heard)
+    received = state.received[number]._replace(suspected=_status_order(view))
+    return _with_view(state, number, view._replace(is_suspected=True), received)
 
 
-def _arrive(state, message, mutant):
+def _deliver(state, message, mutant):
     if message.to == _MEMBER:
-        return _contradict(state, message.incarnation, mutant)
+        return _refute(state, message.incarnation, mutant)
     if isinstance(message, Suspicion):
         view = state.views[message.to]
-        is_meant = view.incarnation == message.incarnation or mutant == "suspect_any_incarnation"
-        is_news = view.process and is_meant and not view.is_suspected
-        return _suspect(state, message.to) if is_news else state
-    if message.to == _FORWARDING:
-        state = state._replace(wire=state.wire | {message._replace(to=1 - _FORWARDING)})
-    view = _take(state.views[message.to], message, mutant)
-    return _with_view(state, message.to, view, _note(state.heard[message.to], message))
-
-
-def _contradict(state, incarnation, mutant):
+        is_same_incarnation = (
+            view.incarnation == message.incarnation or mutant == "suspect_any_incarnation"
+        )
+        is_new = view.process and is_same_incarnation and not view.is_suspected
+        return _suspect(state, message.to) if is_new else state
+    if message.to == _FORWARDER:
+        state = state._replace(in_flight=state.in_flight | {message._replace(to=1 - _FORWARDER)})
+    view = _apply_status(state.views[message.to], message, mutant)
+    return _with_view(state, message.to, view, _record_status(state.received[message.to], message))
+
+
+def _refute(state, incarnation, mutant):
     if incarnation < state.member.incarnation:
         return state
     if mutant == "ignore_suspicion":
-        return state._replace(is_unanswered=True)
-    member = _speak(_outbid(state.member, incarnation, mutant), mutant)
-    is_newer = _place(member) > max(_place(state.member), (incarnation, 0))
-    return _tell(state, member)._replace(is_unanswered=not is_newer)
+        return state._replace(has_unrefuted_suspicion=True)
+    member = _increment_sequence(_raise_incarnation(state.member, incarnation, mutant), mutant)
+    is_newer = _status_order(member) > max(_status_order(state.member), (incarnation, 0))
+    return _send_status(state, member)._replace(has_unrefuted_suspicion=not is_newer)
 
 
-def _take(view, status, mutant):
+def _apply_status(view, status, mutant):
     if not _is_newer(view, status, mutant):
         return view
     is_suspected = view.is_suspected and mutant == "keep_suspicion"
@@ -314,20 +340,22 @@
     return status.incarnation > view.incarnation or mutant == "take_older_incarnation"
 
 
-def _note(heard, status):
-    return heard._replace(
-        process=max(heard.process, status.process),
-        newest=max(heard.newest, _place(status)),
-        left=heard.left | ({status.process} if status.left else set()),
+def _record_status(received, status):
+    return received._replace(
+        process=max(received.process, status.process),
+        newest=max(received.newest, _status_order(status)),
+        left=received.left | ({status.process} if status.left else set()),
     )
 
 
-def _with_view(state, number, view, heard):
-    def put(values, value):
-        return tuple(value if one == number else values[one] for one in OBSERVERS)
+def _with_view(state, number, view, received):
+    def replace_at(values, value):
+        return tuple(value if index == number else values[index] for index in OBSERVERS)
 
-    return state._replace(views=put(state.views, view), heard=put(state.heard, heard))
+    return state._replace(
+        views=replace_at(state.views, view), received=replace_at(state.received, received)
+    )
 
 
-def _place(held):
+def _status_order(held):
     return held.incarnation, held.sequence
