--- a/demo/load.py
+++ b/demo/load.py
@@ -68,7 +68,7 @@
         self.direct = CallStats()
 
     def add_lookups(self, node):
-        """Start a thread that sends lookups through a node and, to compare, directly to its target."""
+        """Start a thread that sends lookups through a node and, to compare, to its target."""
         self._start(lambda callers: self._look_up(callers, node))
 
     def add_orders(self, node):
--- a/models/claims.py
+++ b/models/claims.py
@@ -1,9 +1,9 @@
-"""Model of the claim protocol for index idempotency key.
+"""Model of the claim protocol for one idempotency key.
 
-Two entry nodes serve a few sends of index key: they claim it, read back, dispatch, void, resend and
+Two entry nodes serve a few sends of one key: they claim it, read back, dispatch, void, resend and
 take over. Every message to and from the table and the target may be late or lost, and a node may
 crash at any moment. A pause needs no step of its own, since a node that takes no step for a while
-behaves like a paused index. docs/design/at-most-once.md maps each step to the
+behaves like a paused one. docs/design/at-most-once.md maps each step to the
 code; :data:`MUTANTS` names the safeguards that the model can omit.
 """
 
