--- a/tests/features/steps/claims_model_steps.py
+++ b/tests/features/steps/claims_model_steps.py
@@ -94,7 +94,7 @@
 
 
 def _join_late_waiter(tracker_class):
-    tracker = Process(None, "a", "a1", tracker_class).book
+    tracker = Process(None, "a", "a1", tracker_class).tracker
     (write,) = tracker.submit(_KEY, b"d", Waiter("first"), 0.0)
     void = ClaimRecord(AttemptId("b1", 1), "b", "b", b"d", RecordState.VOIDED)
     lost = WriteResult(WriteOutcome.LOST, Row(pack_record(void), 7))
--- a/tests/soak/claims_mutants.py
+++ b/tests/soak/claims_mutants.py
@@ -1,4 +1,4 @@
-"""Claim books with one safeguard taken out; random runs must catch each of them."""
+"""Claim trackers with one safeguard removed; the random runs must detect each of them."""
 
 from camphorshelf_core.claimrecords import OwnerReply, OwnerState, RecordState, unpack_record
 from camphorshelf_core.claims import ClaimTracker
@@ -6,7 +6,7 @@
 
 
 class DropVoid(ClaimTracker):
-    """Lets a claim go on when nobody waits any more, and says that it has ended."""
+    """Continues a claim that has no waiters left, but reports it as closed."""
 
     def is_open(self, key):
         return super().is_open(key) and bool(self._claims[key].waiters)
@@ -19,7 +19,7 @@
 
 
 class DispatchOnUnknown(ClaimTracker):
-    """Takes a write whose answer was lost for one that took effect."""
+    """Treats a write whose response was lost as applied."""
 
     def on_written(self, key, attempt, written):
         if written.outcome is WriteOutcome.UNKNOWN:
@@ -28,7 +28,7 @@
 
 
 class TakeOverOpen(ClaimTracker):
-    """Takes over the claim of an owner that is gone."""
+    """Takes over the open claim of an owner process that no longer exists."""
 
     def _apply_owner_reply(self, claim, reply):
         if reply.state is OwnerState.GONE:
@@ -37,7 +37,7 @@
 
 
 class TakeOverRunning(ClaimTracker):
-    """Tells a peer that a running call is void."""
+    """Reports a running call to other nodes as voided."""
 
     def query_attempt(self, key, attempt, token, now):
         if key in self._claims:
@@ -46,14 +46,14 @@
 
 
 class ForgottenIsVoid(ClaimTracker):
-    """Takes an attempt that it has forgotten for one that never ran."""
+    """Reports an attempt that it has forgotten as voided, as if it had never run."""
 
     def _registry_reply(self, attempt):
         return OwnerReply(OwnerState.VOIDED)
 
 
 class SayNotRunUnproven(ClaimTracker):
-    """Says NOT_RUN for a key when the table cannot tell of earlier requests."""
+    """Reports NOT_RUN without proof that no earlier request with the key has run."""
 
     def _settle_waiter(self, claim, waiter, refusal):
         claim.is_known_not_run = True
@@ -61,7 +61,7 @@
 
 
 class KeepProof(ClaimTracker):
-    """Says NOT_RUN to a waiter by what was learnt before it came."""
+    """Reports NOT_RUN to a waiter from a proof that is older than the waiter."""
 
     def submit(self, key, digest, waiter, now):
         claim = self._claims.get(key)
@@ -73,7 +73,7 @@
 
 
 class IgnoreDigest(ClaimTracker):
-    """Gives the answer to another request under the same key."""
+    """Returns the stored response to a different request that has the same key."""
 
     def _handle_existing_row(self, claim, row):
         claim.digest = unpack_record(row.data).digest
@@ -81,7 +81,7 @@
 
 
 class UnknownIsVoid(ClaimTracker):
-    """Marks a call whose outcome is unknown as void in the table."""
+    """Marks a call whose outcome is unknown as voided in the table."""
 
     def on_result(self, key, attempt, result, now):
         *actions, mark = super().on_result(key, attempt, result, now) or [None]
--- a/tests/soak/claims_world.py
+++ b/tests/soak/claims_world.py
@@ -1,4 +1,4 @@
-"""A fake clock, table, network and target around real claim books, with loss and delay."""
+"""Real claim trackers with a fake clock, table, network and target, under loss and delay."""
 
 from collections import Counter
 from random import Random
@@ -21,7 +21,7 @@
 
 
 class Sent(NamedTuple):
-    """A caller's request: what it asks and how often its key had run when it came."""
+    """A caller's request, and how often the call with its key had run when it arrived."""
 
     key: object
     digest: bytes
@@ -29,16 +29,16 @@
 
 
 class Process:
-    """One incarnation of one node."""
+    """One process of a node, identified by its incarnation."""
 
-    def __init__(self, world, name, incarnation, book_class):
+    def __init__(self, world, name, incarnation, tracker_class):
         self.name = name
         self.incarnation = incarnation
         self.is_alive = True
         self.is_paused = False
-        self._numbers = 0
+        self._attempts = 0
         self.invariants = Invariants()
-        self.book = book_class(
+        self.tracker = tracker_class(
             _SETTINGS, (name, name), self._next_attempt, Random(incarnation), self.invariants
         )
         self._world = world
@@ -48,26 +48,26 @@
         return self.is_alive and not self.is_paused
 
     def _next_attempt(self):
-        self._numbers += 1
-        return AttemptId(self.incarnation, self._numbers)
+        self._attempts += 1
+        return AttemptId(self.incarnation, self._attempts)
 
 
 class Pending:
-    """One action on its way: the node it belongs to and how far it has come."""
+    """An action in progress: the process that issued it, and its progress."""
 
     def __init__(self, process, action):
         self.process = process
         self.action = action
         self.result = None
         self.is_answered = False
-        self.is_asked = False
+        self.is_queried = False
 
 
 class World:
-    """Three nodes, a table and a target; every step is chosen from outside."""
+    """Three nodes, a table and a target; the test chooses the order of all steps."""
 
-    def __init__(self, book_class=ClaimTracker):
-        self._book_class = book_class
+    def __init__(self, tracker_class=ClaimTracker):
+        self._tracker_class = tracker_class
         self._started = 0
         self._sent = {}
         self._callers = {}
@@ -93,15 +93,15 @@
         self._callers.setdefault((process, key), set()).add(token)
         self._ended.discard((process, key))
         self.last_sent = index, token
-        self._carry_out(process, process.book.submit(key, digest, waiter, self.now))
+        self._carry_out(process, process.tracker.submit(key, digest, waiter, self.now))
 
     def leave(self, index, token):
         process = self.processes[index]
         if process.can_act and token in self._sent:
             key = self._sent[token].key
-            self._carry_out(process, process.book.remove_waiter(key, token))
-            if token in self._callers.get((process, key), ()) and not process.book.is_open(key):
-                # The node tells the caller NOT_RUN here if it vouched for a first send.
+            self._carry_out(process, process.tracker.remove_waiter(key, token))
+            if token in self._callers.get((process, key), ()) and not process.tracker.is_open(key):
+                # Here the node reports NOT_RUN to a caller that vouched for a first send.
                 self._ended.add((process, key))
 
     def kill(self, index):
@@ -114,7 +114,7 @@
         process.is_paused = not process.is_paused
 
     def advance(self, steps):
-        """Let the newest action succeed, and what follows from it, for some steps."""
+        """Let the newest pending action succeed, repeated for a number of steps."""
         for _ in range(steps):
             if not self.pending:
                 return
@@ -123,25 +123,25 @@
             self.step(newest, "answer")
 
     def step(self, pending, choice):
-        """Move one pending action on, in one of the ways that can happen to it."""
+        """Advance one pending action: apply, answer, lose or drop it."""
         steps = {
             "WriteClaim": self._step_write,
             "MarkClaim": self._step_write,
             "ReadClaim": self._step_read,
-            "AskOwner": self._step_ask,
+            "AskOwner": self._step_query,
             "RunCall": self._step_run,
         }
         steps[type(pending.action).__name__](pending, choice)
 
     def check(self):
-        doubled = {key: count for key, count in self.runs.items() if count > 1}
-        assert not doubled, f"ran more than once: {doubled}"
+        repeated = {key: count for key, count in self.runs.items() if count > 1}
+        assert not repeated, f"ran more than once: {repeated}"
         for process in self.processes:
             assert not process.invariants.broken, process.invariants.broken
 
     def _start(self, name):
         self._started += 1
-        return Process(self, name, f"{name}{self._started}", self._book_class)
+        return Process(self, name, f"{name}{self._started}", self._tracker_class)
 
     def _carry_out(self, process, actions):
         for action in actions:
@@ -153,13 +153,13 @@
             self.pending.append(Pending(process, action))
 
     def _check_wanted(self, process, action):
-        is_told = (process, action.key) in self._ended
-        assert not is_told, f"dispatched after everyone was told NOT_RUN: {action}"
+        is_refused = (process, action.key) in self._ended
+        assert not is_refused, f"dispatched after all callers were told NOT_RUN: {action}"
 
     def _settle(self, process, action):
         if isinstance(action.token, Pending):
             if not action.token.is_answered:
-                self._answer_ask(action.token, action.result)
+                self._answer_query(action.token, action.result)
             return
         self._callers[process, self._sent[action.token].key].discard(action.token)
         self._check_outcome(self._sent[action.token], action.result)
@@ -167,13 +167,18 @@
     def _check_outcome(self, sent, result):
         if isinstance(result, Response):
             first = self.answers.setdefault(sent.key, (sent.digest, result))
-            assert first == (sent.digest, result), f"another answer: {result} after {first}"
+            assert first == (
+                sent.digest,
+                result,
+            ), f"two different answers for one key: {result} after {first}"
             return
         self.refusals[result.code.name] += 1
         if result.ran is Ran.NOT_RUN and result.code is not Code.KEY_REUSED:
-            assert sent.runs_at_arrival == 0, f"NOT_RUN after it ran: {sent} {result}"
+            assert sent.runs_at_arrival == 0, f"NOT_RUN for a call that had run: {sent} {result}"
         if result.ran is Ran.RAN:
-            assert self.runs[sent.key] == 1, f"RAN before it ran: {sent} {result}"
+            assert (
+                self.runs[sent.key] == 1
+            ), f"RAN for a call that had not run exactly once: {sent} {result}"
 
     def _step_write(self, pending, choice):
         if choice == "apply":
@@ -189,7 +194,7 @@
             self._finish(pending)
             self._answer_write(pending, WriteResult(WriteOutcome.NOT_APPLIED))
         elif choice == "lose":
-            # The write stays under way when it was not applied: it may land at any later time.
+            # A write that was not applied yet stays pending: it may be applied at any later time.
             pending.is_answered = True
             self._answer_write(pending, WriteResult(WriteOutcome.UNKNOWN))
 
@@ -203,10 +208,10 @@
     def _answer_write(self, pending, written):
         process, action = pending.process, pending.action
         if not isinstance(action, MarkClaim):
-            actions = process.book.on_written(action.key, action.record.attempt, written)
+            actions = process.tracker.on_written(action.key, action.record.attempt, written)
             self._carry_out(process, actions)
             return
-        mark = process.book.next_mark(action, written)
+        mark = process.tracker.next_mark(action, written)
         if mark is not None:
             self.pending.append(Pending(process, mark))
 
@@ -218,44 +223,44 @@
             self._finish(pending)
             is_lost = choice in ("lose", "drop")
             result = Failure(ReadFailure("")) if is_lost else Success(self.rows.get(action.key))
-            self._carry_out(process, process.book.on_read(action.key, action.attempt, result))
+            self._carry_out(process, process.tracker.on_read(action.key, action.attempt, result))
 
-    def _step_ask(self, pending, choice):
+    def _step_query(self, pending, choice):
         if not pending.process.is_alive:
             self._finish(pending)
         elif pending.process.can_act:
-            self._ask(pending, choice)
+            self._query_owner(pending, choice)
 
-    def _ask(self, pending, choice):
+    def _query_owner(self, pending, choice):
         record, key = pending.action.record, pending.action.key
         owner = next(one for one in self.processes if one.name == record.node)
         if choice == "drop":
-            self._answer_ask(pending, OwnerReply(OwnerState.UNREACHABLE))
+            self._answer_query(pending, OwnerReply(OwnerState.UNREACHABLE))
         elif owner.incarnation != record.attempt.incarnation:
-            self._answer_ask(pending, OwnerReply(OwnerState.GONE))
-        elif pending.is_asked:
+            self._answer_query(pending, OwnerReply(OwnerState.GONE))
+        elif pending.is_queried:
             if choice == "lose" and owner.can_act:
-                self._answer_ask(pending, OwnerReply(OwnerState.RUNNING))
-                actions = owner.book.cancel_query(key, record.attempt, pending)
+                self._answer_query(pending, OwnerReply(OwnerState.RUNNING))
+                actions = owner.tracker.cancel_query(key, record.attempt, pending)
                 self._carry_out(owner, actions)
         elif owner.can_act:
-            pending.is_asked = True
-            reply = owner.book.query_attempt(key, record.attempt, pending, self.now)
+            pending.is_queried = True
+            reply = owner.tracker.query_attempt(key, record.attempt, pending, self.now)
             if reply is not None:
-                self._answer_ask(pending, reply)
+                self._answer_query(pending, reply)
 
-    def _answer_ask(self, pending, reply):
+    def _answer_query(self, pending, reply):
         process, action = pending.process, pending.action
         self._finish(pending)
         pending.is_answered = True
         if process.is_alive:
-            actions = process.book.on_owner(action.key, action.attempt, reply)
+            actions = process.tracker.on_owner(action.key, action.attempt, reply)
             self._carry_out(process, actions)
 
     def _step_run(self, pending, choice):
         process = pending.process
         if choice in ("apply", "answer") and pending.result is None:
-            # The target runs it, whether or not the node that sent it still waits or lives.
+            # The target runs the call even if the sending node has given up on it or crashed.
             self.runs[pending.action.key] += 1
             body = b"run by %r" % (pending.action.attempt,)
             pending.result = Response(200, (), body)
@@ -276,7 +281,7 @@
 
     def _answer_run(self, pending, result):
         process, action = pending.process, pending.action
-        actions = process.book.on_result(action.key, action.attempt, result, self.now)
+        actions = process.tracker.on_result(action.key, action.attempt, result, self.now)
         self._carry_out(process, actions)
 
     def _finish(self, pending):
