--- a/tests/soak/members_mutants.py
+++ b/tests/soak/members_mutants.py
@@ -1,4 +1,4 @@
-"""Peers with one safeguard taken out; random runs must catch each of them."""
+"""Patches that remove one safeguard of the membership code; random runs must detect each."""
 
 from unittest.mock import patch
 
@@ -7,62 +7,62 @@
 from camphorshelf_relay.announcer import Announcer
 from camphorshelf_relay.peers import Peers
 
-_take, _suspect = HostView.apply, HostView.suspect
+_apply, _suspect = HostView.apply, HostView.suspect
 
 
-def _take_always(view, status, now):
+def _apply_always(view, status, now):
     view.status = None
-    return _take(view, status, now)
+    return _apply(view, status, now)
 
 
-def _take_overtaken(view, status, now):
-    """Take an earlier status of the same incarnation."""
+def _apply_overtaken(view, status, now):
+    """Accept an older status of the same incarnation."""
     if view.status is not None and view.status.incarnation == status.incarnation:
-        return _take_always(view, status, now)
-    return _take(view, status, now)
+        return _apply_always(view, status, now)
+    return _apply(view, status, now)
 
 
-def _take_older(view, status, now):
-    """Take any other incarnation for a newer one."""
+def _apply_older(view, status, now):
+    """Accept a status of any other incarnation as newer."""
     if view.status is not None and view.status.incarnation != status.incarnation:
-        return _take_always(view, status, now)
-    return _take(view, status, now)
+        return _apply_always(view, status, now)
+    return _apply(view, status, now)
 
 
 class _RememberHeard(HostView):
-    """Takes any incarnation for a newer one but those that it has held itself."""
+    """Accepts any incarnation as newer, except those that it has held before."""
 
-    __slots__ = ("_past",)
+    __slots__ = ("_earlier_incarnations",)
 
     def __init__(self):
         super().__init__()
-        self._past = set()
+        self._earlier_incarnations = set()
 
     def apply(self, status, now):
         held = self.status
         if held is not None and held.incarnation != status.incarnation:
-            if status.incarnation in self._past:
+            if status.incarnation in self._earlier_incarnations:
                 return False
-            self._past.add(held.incarnation)
+            self._earlier_incarnations.add(held.incarnation)
             self.status = None
         return super().apply(status, now)
 
 
 def _keep_suspicion(view, status, now):
-    """Hold on to a suspicion that was refuted."""
+    """Keep a suspicion after it was refuted."""
     suspected_at = view.suspected_at
-    is_newer = _take(view, status, now)
+    is_newer = _apply(view, status, now)
     view.suspected_at = suspected_at
     return is_newer
 
 
 def _suspect_any(view, incarnation, now):
-    """Let a suspicion of an incarnation count against another one."""
+    """Apply a suspicion of one incarnation to another one."""
     return _suspect(view, view.status.incarnation, now)
 
 
 def _suspect_just_heard(view, incarnation, now):
-    """Let a suspicion count against a member that was just heard."""
+    """Accept a suspicion of a member that was heard from a moment ago."""
     if view.suspected_at is not None or view.status.incarnation != incarnation:
         return False
     view.suspected_at = now
@@ -70,12 +70,12 @@
 
 
 def _do_nothing(*_arguments):
-    """Leave a safeguard out."""
+    """Replace a safeguard by a function without effect."""
 
 
 MUTANTS = {
-    "take_overtaken": (HostView, "apply", _take_overtaken),
-    "take_older": (HostView, "apply", _take_older),
+    "take_overtaken": (HostView, "apply", _apply_overtaken),
+    "take_older": (HostView, "apply", _apply_older),
     "remember_heard": (directory, "HostView", _RememberHeard),
     "keep_suspicion": (HostView, "apply", _keep_suspicion),
     "suspect_any": (HostView, "suspect", _suspect_any),
@@ -86,9 +86,9 @@
 
 
 def patch_mutant(name):
-    """Leave a safeguard out.
+    """Remove a safeguard while the returned context is active.
 
     :param name: one of :data:`MUTANTS`.
-    :return: the context in which it is left out.
+    :return: the context manager that patches it.
     """
     return patch.object(*MUTANTS[name])
--- a/tests/soak/members_world.py
+++ b/tests/soak/members_world.py
@@ -1,6 +1,7 @@
-"""Six hosts' peers on a network that delays, reorders, loses, doubles and holds datagrams.
+"""Six hosts on a simulated network that delays, reorders, loses, duplicates and holds datagrams.
 
-What each observer holds of each address is compared before and after each datagram and each wait.
+Before and after each datagram and each wait, the state that each host holds about each address is
+compared.
 """
 
 import random
@@ -16,25 +17,25 @@
 HOSTS = 6
 _DOMAINS = 3
 _LOSS = 0.05
-_DOUBLE = 0.1
+_DUPLICATION = 0.1
 _LATE = 0.15
 _LATE_SECONDS = 4.0
 _ONE_WAY_SECONDS = 0.0014
 _JUST_HEARD_SECONDS = 0.5
 _NANOSECONDS = 10**9
 _START_SECONDS = 3.0
-# Time for all to find each other again once nothing is lost or cut off any more.
+# Time for all hosts to find each other again after the last loss and network cut.
 _CALM_SECONDS = 10.0
-# The longest time between two looks at what is held.
-_LOOK_SECONDS = 0.1
+# The longest time between two checks of the hosts' states.
+_CHECK_SECONDS = 0.1
 
 _CHANCE = random.Random()
 
 
 def patch_fleet():
-    """Make hosts probe each other as in a large fleet, with incarnations that can be repeated.
+    """Make hosts probe each other as in a large fleet, with reproducible incarnations.
 
-    :return: the context in which it is so.
+    :return: the context manager that patches the code.
     """
     stack = ExitStack()
     for name in ("_PUSH_MAX_HOSTS", "_PUSH_RESUME_MAX_HOSTS"):
@@ -45,14 +46,14 @@
 
 
 class World(Fleet):
-    """The hosts, and the properties of what they hold of each other."""
+    """The hosts, with checks of the state that they hold about each other."""
 
     def __init__(self, seed, is_clock_behind=False):
         _CHANCE.seed(seed)
         self._is_clock_behind = is_clock_behind
         self._chance = random.Random(seed)
         self._starts = Counter()
-        self._places = {}
+        self._orders = {}
         self._known = {}
         self._is_calm = True
         self._cut = set()
@@ -74,36 +75,36 @@
             return super().start(number, with_roster)
 
     def leave(self, number):
-        """Say that a host takes no new work; it never does so again in this process."""
+        """Let a host announce that it accepts no new work, for the rest of its process."""
         host = self.hosts[number]
         host.status = host.status._replace(accepting=False)
         host.peers.announce_changes()
 
     def cut(self, number):
-        """Cut a host off, or connect it again."""
+        """Disconnect a host from the network, or reconnect it."""
         self._cut ^= {self.hosts[number].ip}
 
     def hold(self, number):
-        """Hold what comes to a host and what it sends, as if it were frozen, or let it go."""
+        """Hold all datagrams to and from a host, as if it were frozen, or release them."""
         self._held_ips ^= {self.hosts[number].ip}
         self._release()
 
     def wait(self, seconds):
-        """Let time pass."""
+        """Advance the fake clock and check the hosts along the way."""
         end = self.loop.now() + seconds
         while self.loop.now() < end - 1e-6:
-            self.run(min(_LOOK_SECONDS, end - self.loop.now()))
+            self.run(min(_CHECK_SECONDS, end - self.loop.now()))
             self.check()
 
     def outlast(self):
-        """Let a cut last for longer than hosts are remembered."""
+        """Release held datagrams, and keep network cuts until the hosts cut off are forgotten."""
         self._held_ips.clear()
         self._release()
         self.run(FORGOTTEN_SECONDS * 1.2)
         self.check()
 
     def calm(self):
-        """End all faults; then those that run know each other, and take the dead for dead."""
+        """End all faults, and check that running hosts then hold only each other as live."""
         self._cut.clear()
         self._held_ips.clear()
         self._release()
@@ -113,21 +114,21 @@
         self._is_calm = False
 
     def send(self, source, data, ip):
-        """Let a datagram go its way."""
+        """Deliver a datagram with random delay, loss and duplication."""
         if not source.is_up:
             return
-        place = self._starts[self._number(source)]
-        self._places.setdefault(source.peers._announcer.incarnation, place)
+        order = self._starts[self._number(source)]
+        self._orders.setdefault(source.peers._announcer.incarnation, order)
         for delay in self._delays():
             self.loop.call_later(delay, lambda: self._arrive(source.ip, data, ip))
 
     def check(self):
-        """Compare what all hosts hold with what they held before."""
+        """Compare the states that all hosts hold with those at the previous check."""
         for host in self.up():
             self._check_host(host, ())
 
     def check_calm(self):
-        """Check that all that run are taken for sound by all others, and no dead one is."""
+        """Check that each running host holds exactly the other running hosts as live."""
         up = {host.address: host for host in self.up()}
         for host in up.values():
             live = self.live_views(host)
@@ -145,7 +146,7 @@
             return [_ONE_WAY_SECONDS]
         if self._chance.random() < _LOSS:
             return []
-        copies = 2 if self._chance.random() < _DOUBLE else 1
+        copies = 2 if self._chance.random() < _DUPLICATION else 1
         return [self._draw_delay() for _ in range(copies)]
 
     def _draw_delay(self):
@@ -160,64 +161,72 @@
         elif target.is_up and not {source_ip, ip} & self._cut:
             self._check_host(target, ())
             target.peers.receive(data, source_ip)
-            self._check_host(target, _list_accused(data))
+            self._check_host(target, _list_suspected(data))
 
     def _release(self):
         held, self._held = self._held, []
         for source_ip, data, ip in held:
             self._arrive(source_ip, data, ip)
 
-    def _check_host(self, host, accused):
+    def _check_host(self, host, suspected):
         directory = host.peers.directory
         known = self._known.setdefault(host, {})
         for address in {*known, *directory.addresses}:
             view = directory.view(address)
-            held = None if view is None else _Held(view, self._place(view.status))
+            held = None if view is None else _HeldState(view, self._order(view.status))
             if held is not None and address in known:
-                held.check_after(known[address], accused)
+                held.check_after(known[address], suspected)
             known[address] = held
             if held is None:
                 del known[address]
 
-    def _place(self, status):
+    def _order(self, status):
         if self._is_clock_behind:
             return status.incarnation, status.sequence
-        return self._places[status.incarnation], status.sequence
+        return self._orders[status.incarnation], status.sequence
 
 
-class _Held:
-    """What an observer holds of an address at one moment."""
+class _HeldState:
+    """The state that a host holds about an address at one moment."""
 
-    __slots__ = ("place", "incarnation", "accepting", "heard_at", "suspected_at")
+    __slots__ = ("order", "incarnation", "accepting", "heard_at", "suspected_at")
 
-    def __init__(self, view, place):
-        self.place = place
+    def __init__(self, view, order):
+        self.order = order
         self.incarnation = view.status.incarnation
         self.accepting = view.status.accepting
         self.heard_at = view.heard_at
         self.suspected_at = view.suspected_at
 
-    def check_after(self, before, accused):
-        """Check what has changed.
+    def check_after(self, before, suspected):
+        """Check that the state has changed only in permitted ways.
 
-        :param before: what was held a moment before.
-        :param accused: the incarnations that a datagram has called silent in this moment.
+        :param before: the state at the previous check.
+        :param suspected: the incarnations that the datagram received since then suspects.
         :return: None.
         """
-        assert self.place >= before.place, "an older word has replaced a newer one"
+        assert self.order >= before.order, "an older status has replaced a newer one"
         if self.incarnation == before.incarnation:
-            assert before.accepting or not self.accepting, "what has left is back"
-        is_newer = self.place > before.place
+            assert (
+                before.accepting or not self.accepting
+            ), "a process that was leaving accepts work again"
+        is_newer = self.order > before.order
         if before.suspected_at is not None and self.suspected_at is None:
-            assert is_newer, "a suspicion has ended without a newer word"
+            assert is_newer, "a suspicion has ended without a newer status"
         if is_newer and before.suspected_at is not None:
-            assert self.suspected_at != before.suspected_at, "a refutation has not ended it"
+            assert (
+                self.suspected_at != before.suspected_at
+            ), "a newer status has not ended the suspicion"
         if self.suspected_at is not None and before.suspected_at is None:
-            assert self.suspected_at - self.heard_at >= _JUST_HEARD_SECONDS, "it was just heard"
-            assert not accused or self.incarnation in accused, "another one was accused"
+            assert (
+                self.suspected_at - self.heard_at >= _JUST_HEARD_SECONDS
+            ), "suspected although it was just heard from"
+            assert (
+                not suspected or self.incarnation in suspected
+            ), "suspected by a suspicion of another incarnation"
 
 
-def _list_accused(data):
+def _list_suspected(data):
     message = decode(data, lambda incarnation: None)
     if not isinstance(message, MemberUpdates):
         return ()
