--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,8 +1,9 @@
-"""Random faults on real processes, from outside, with the promises checked from outside.
+"""Injects random faults into real processes and checks the guarantees that callers see.
 
-Five hosts on loopback, each with its node and its target, and a store behind a proxy. Callers send
-lookups and orders all the time while processes are killed, frozen, stopped and started again, the
-store is cut, slow, deaf and forgetful, targets leave and crash, and versions follow each other.
+Five hosts run on loopback, each with a node and a target, and a store behind a proxy. Callers send
+lookups and orders all the time while processes are killed, frozen, stopped and restarted, the store
+is unreachable or slow, hides changes or loses its history, targets leave and crash, and new
+configuration versions are published.
 """
 
 import random
@@ -30,7 +31,7 @@
 
 
 class Outcome(NamedTuple):
-    """What one caller got."""
+    """The response or error that a caller got to one request."""
 
     request_id: str
     kind: str
@@ -40,36 +41,36 @@
 
 
 class Finding(NamedTuple):
-    """A broken promise."""
+    """A violated guarantee."""
 
-    promise: str
+    guarantee: str
     detail: object
 
 
 class FaultRun:
-    """One seed's run."""
+    """A run of one seed."""
 
     def __init__(self, seed, seconds):
         self._random = random.Random(seed)
         self._seconds = seconds
         self._outcomes = []
         self._leaves = []
-        self._seen = []
+        self._version_results = []
         self._version = _FIRST_VERSION
         self._stop = threading.Event()
-        self._undo = []
+        self._undo_actions = []
         self._stopped = set()
         self.log = []
         proxies = []
 
-        def between(address, server):
+        def start_proxy(address, server):
             proxies.append(Proxy(address, server))
 
-        self._deployment = RelayDeployment(_HOSTS, self._document(), between)
+        self._deployment = RelayDeployment(_HOSTS, self._document(), start_proxy)
         self._proxy = proxies[0]
 
     def run(self):
-        """Play the faults and check the promises.
+        """Inject the faults and check the guarantees.
 
         :return: a list of :class:`Finding`.
         """
@@ -80,7 +81,7 @@
             threads.append(threading.Thread(target=self._watch_versions))
             for thread in threads:
                 thread.start()
-            self._play()
+            self._inject_faults()
             recovered = self._recover()
             self._stop.set()
             for thread in threads:
@@ -99,7 +100,7 @@
         }
         return make_document(self._version, routes)
 
-    def _play(self):
+    def _inject_faults(self):
         end = time.monotonic() + self._seconds
         faults = (
             self._kill_node,
@@ -114,36 +115,36 @@
         )
         while time.monotonic() < end:
             fault = self._random.choice(faults)
-            self._note(fault.__name__)
+            self._record(fault.__name__)
             fault()
             self._undo_due()
             time.sleep(self._random.uniform(0.1, 1.0))
 
-    def _note(self, what):
+    def _record(self, what):
         self.log.append((round(time.time(), 2), what))
 
-    def _later(self, seconds, undo):
-        self._undo.append((time.monotonic() + seconds, undo))
+    def _undo_after(self, seconds, undo):
+        self._undo_actions.append((time.monotonic() + seconds, undo))
 
     def _undo_due(self, everything=False):
         now = time.monotonic()
-        due = [one for one in self._undo if everything or one[0] <= now]
-        self._undo = [one for one in self._undo if one not in due]
+        due = [one for one in self._undo_actions if everything or one[0] <= now]
+        self._undo_actions = [one for one in self._undo_actions if one not in due]
         for _, undo in due:
             undo()
 
-    def _pick(self):
+    def _pick_host(self):
         free = [plan.name for plan in _HOSTS if plan.name not in self._stopped]
-        # At least two hosts stay whole, or nothing could be promised.
+        # At least two hosts stay up: with fewer, the guarantees need not hold.
         return self._random.choice(free) if len(free) > 2 else None
 
     def _kill_node(self):
-        name = self._pick()
+        name = self._pick_host()
         if name is not None:
             self._end_node(name, signal.SIGKILL)
 
     def _stop_node(self):
-        name = self._pick()
+        name = self._pick_host()
         if name is not None:
             self._end_node(name, signal.SIGTERM)
 
@@ -151,15 +152,15 @@
         self._stopped.add(name)
         self._deployment.signal(f"node-{name}", number)
 
-        def again():
+        def restart():
             self._deployment.wait_end(f"node-{name}")
             self._deployment.start_node(name)
             self._stopped.discard(name)
 
-        self._later(self._random.uniform(0.1, 2.0), again)
+        self._undo_after(self._random.uniform(0.1, 2.0), restart)
 
     def _freeze_node(self):
-        name = self._pick()
+        name = self._pick_host()
         if name is None:
             return
         self._stopped.add(name)
@@ -169,24 +170,24 @@
             self._deployment.signal(f"node-{name}", signal.SIGCONT)
             self._stopped.discard(name)
 
-        self._later(self._random.uniform(0.3, 3.0), wake)
+        self._undo_after(self._random.uniform(0.3, 3.0), wake)
 
     def _crash_target(self):
-        name = self._pick()
+        name = self._pick_host()
         if name is None:
             return
         self._stopped.add(name)
         self._deployment.signal(f"target-{name}", signal.SIGKILL)
         self._deployment.wait_end(f"target-{name}")
 
-        def again():
+        def restart():
             self._deployment.start_target(name)
             self._stopped.discard(name)
 
-        self._later(self._random.uniform(0.2, 2.0), again)
+        self._undo_after(self._random.uniform(0.2, 2.0), restart)
 
     def _leave_target(self):
-        name = self._pick()
+        name = self._pick_host()
         if name is None:
             return
         self._stopped.add(name)
@@ -198,7 +199,7 @@
             self._deployment.signal(f"target-{name}", signal.SIGUSR2)
             self._stopped.discard(name)
 
-        self._later(self._random.uniform(1.0, 2.5), stay)
+        self._undo_after(self._random.uniform(1.0, 2.5), stay)
 
     def _acknowledged_at(self, name, asked):
         for line in self._deployment.log(f"target-{name}").splitlines():
@@ -221,14 +222,14 @@
                 {"down": [self._deployment.ip("a1"), self._deployment.ip("b2")]},
             ]
         )
-        self._note(fault)
+        self._record(fault)
         self._deployment.set_faults(**fault)
-        self._later(self._random.uniform(0.5, 3.0), self._deployment.set_faults)
+        self._undo_after(self._random.uniform(0.5, 3.0), self._deployment.set_faults)
 
     def _cut_store(self):
         self._proxy.mode = self._random.choice(["delay", "silent", "one_way", "reset"])
-        self._note(self._proxy.mode)
-        self._later(self._random.uniform(0.3, 2.0), self._heal)
+        self._record(self._proxy.mode)
+        self._undo_after(self._random.uniform(0.3, 2.0), self._heal)
 
     def _heal(self):
         self._proxy.mode = "pass"
@@ -238,14 +239,14 @@
         self._deployment.configure(self._document())
 
     def _call(self, number):
-        chance = random.Random(number)
+        rng = random.Random(number)
         while not self._stop.is_set():
-            kind = chance.choice(["look", "look", "order"])
+            kind = rng.choice(["look", "look", "order"])
             request_id = self._deployment.next_id()
-            work = chance.choice([1, 5, 20, 100])
+            work = rng.choice([1, 5, 20, 100])
             path = f"/{kind}/{request_id}?work_ms={work}"
             headers = (("Request-Id", request_id), ("Deadline-Ms", "2000"))
-            address = self._deployment.address("callers", chance.choice(_HOSTS).name)
+            address = self._deployment.address("callers", rng.choice(_HOSTS).name)
             method = "POST" if kind == "order" else "GET"
             try:
                 answer = call(address, method, "shop", path, headers)
@@ -265,7 +266,7 @@
                 except (OSError, EOFError):
                     continue
                 if pid == self._deployment.pid(f"node-{plan.name}"):
-                    self._seen.append((plan.name, pid, version, answer.status))
+                    self._version_results.append((plan.name, pid, version, answer.status))
             time.sleep(0.02)
 
     def _recover(self):
@@ -275,14 +276,14 @@
         try:
             for name in self._deployment.names:
                 self._deployment.wait_until(
-                    lambda name=name: self._is_well(name), _RECOVERY_SECONDS
+                    lambda name=name: self._is_healthy(name), _RECOVERY_SECONDS
                 )
         except TimeoutError:
-            well = [name for name in self._deployment.names if self._is_well(name)]
-            return [Finding("all are served again within 15 s", {"well": well})]
+            healthy = [name for name in self._deployment.names if self._is_healthy(name)]
+            return [Finding("all hosts serve again within 15 s", {"well": healthy})]
         return []
 
-    def _is_well(self, name):
+    def _is_healthy(self, name):
         try:
             looked = self._deployment.send(name, "GET", f"/v{self._version}/x").status
             ordered = self._deployment.send(name, "POST", "/order/x").status
@@ -291,20 +292,25 @@
         return self._deployment.is_ready(name) and (looked, ordered) == (200, 200)
 
     def _check(self):
-        return [*self._check_orders(), *self._check_answers(), *self._check_leaves(), *self._back()]
+        return [
+            *self._check_orders(),
+            *self._check_answers(),
+            *self._check_leaves(),
+            *self._check_versions(),
+        ]
 
     def _check_orders(self):
         runs = self._deployment.all_runs()
         for one in self._outcomes:
             if one.kind == "order" and runs[one.request_id] > 1:
-                yield Finding("an order runs once at most", one)
+                yield Finding("an order runs at most once", one)
             if one.status in (408, 421, 429, 503) and one.kind == "order" and runs[one.request_id]:
-                yield Finding("not run is true", one)
+                yield Finding("an order that is reported as not run has not run", one)
 
     def _check_answers(self):
         for one in self._outcomes:
             if one.status == 200 and one.path.encode() not in one.body:
-                yield Finding("each gets its own whole answer", one)
+                yield Finding("each caller gets its own complete response", one)
 
     def _check_leaves(self):
         for name, acknowledged, until in self._leaves:
@@ -316,35 +322,37 @@
                 if acknowledged + _UNSENT_MARGIN < at < until
             ]
             if late:
-                yield Finding("a leaving target gets nothing new", (name, acknowledged, late[:3]))
+                yield Finding(
+                    "a leaving target gets no new requests", (name, acknowledged, late[:3])
+                )
 
-    def _back(self):
+    def _check_versions(self):
         newest = {}
-        for name, pid, version, status in self._seen:
+        for name, pid, version, status in self._version_results:
             known = newest.get((name, pid), 0)
             if status == 200 and version < known:
-                yield Finding("a version never goes back", (name, pid, version, known))
+                yield Finding("the version of a node never decreases", (name, pid, version, known))
             if status == 200:
                 newest[name, pid] = max(known, version)
 
 
 def main(seconds, seed):
-    """Run one seed after another for a time.
+    """Run successive seeds for a given time.
 
-    :param seconds: for how long to start new seeds.
-    :param seed: the first one.
-    :return: how many seeds broke a promise.
+    :param seconds: how long to start new seeds, in seconds.
+    :param seed: the first seed.
+    :return: the number of seeds that violated a guarantee.
     """
     end = time.monotonic() + seconds
-    broken = 0
+    violations = 0
     while time.monotonic() < end:
         run = FaultRun(seed, min(15.0, seconds))
         findings = run.run()
-        broken += bool(findings)
+        violations += bool(findings)
         print(f"seed {seed}: {len(run._outcomes)} calls, {len(run.log)} faults, {findings or 'ok'}")
         sys.stdout.flush()
         seed += 1
-    return broken
+    return violations
 
 
 if __name__ == "__main__":
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, silences, resets or cuts one way what passes through it."""
+"""A loopback TCP proxy that delays, withholds or resets the traffic through it."""
 
 import socket
 import threading
@@ -9,10 +9,10 @@
 
 
 class Proxy:
-    """Stands between clients and one server; ``mode`` may change at any moment.
+    """Forwards connections to one server; ``mode`` may change at any time.
 
-    Modes: ``pass``, ``delay`` (50 ms a piece), ``silent`` (nothing goes on, nothing is closed),
-    ``one_way`` (answers are held back) and ``reset`` (connections are broken off).
+    Modes: ``pass``, ``delay`` (50 ms per chunk), ``silent`` (nothing is forwarded or closed),
+    ``one_way`` (responses are held back) and ``reset`` (connections are closed).
     """
 
     def __init__(self, address, server):
@@ -24,7 +24,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self):
-        """Take no more connections and end those there are."""
+        """Accept no more connections and close the open ones."""
         self._open = False
         self._listener.close()
 
@@ -39,25 +39,27 @@
     def _serve(self, client, peer):
         host, port = self._server.split(":")
         try:
-            # From the client's own address: the server tells its callers apart by it.
+            # Uses the client's own address, by which the server identifies its callers.
             server = socket.create_connection((host, int(port)), 1, source_address=(peer, 0))
         except OSError:
             client.close()
             return
-        for source, sink, is_answer in ((client, server, False), (server, client, True)):
-            pump = threading.Thread(target=self._pump, args=(source, sink, is_answer), daemon=True)
-            pump.start()
+        for source, sink, is_response in ((client, server, False), (server, client, True)):
+            thread = threading.Thread(
+                target=self._forward, args=(source, sink, is_response), daemon=True
+            )
+            thread.start()
 
-    def _pump(self, source, sink, is_answer):
+    def _forward(self, source, sink, is_response):
         try:
             source.settimeout(_POLL_SECONDS)
             while self._open:
                 if self.mode == "reset":
                     break
-                if self.mode == "silent" or (self.mode == "one_way" and is_answer):
+                if self.mode == "silent" or (self.mode == "one_way" and is_response):
                     time.sleep(_POLL_SECONDS)
                     continue
-                if not self._move(source, sink):
+                if not self._forward_chunk(source, sink):
                     break
         except OSError:
             pass
@@ -65,7 +67,7 @@
             for end in (source, sink):
                 end.close()
 
-    def _move(self, source, sink):
+    def _forward_chunk(self, source, sink):
         try:
             data = source.recv(_CHUNK)
         except TimeoutError:
