--- a/tests/fakeplatform.py
+++ b/tests/fakeplatform.py
@@ -1,4 +1,4 @@
-"""A platform in memory for random runs: answers are lost, writes apply late or never."""
+"""An in-memory platform for random tests that loses responses and delays or drops writes."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 class Fault(Enum):
-    """What goes wrong with one operation."""
+    """The fault that is injected into one operation."""
 
     NONE = "none"
     ANSWER_LOST = "answer lost"
@@ -15,7 +15,7 @@
 
 
 class FakePlatform:
-    """Rows and objects with the outcomes that the procedures of ``confirm`` know."""
+    """Stores rows and objects, and returns the outcomes that the steps in ``confirm`` expect."""
 
     def __init__(self, on_swap=lambda operation: None):
         self.down = False
@@ -25,11 +25,11 @@
         self._on_swap = on_swap
 
     def row(self, partition, key):
-        """Look at a row past all faults."""
+        """Return a row with its version, or None, whatever faults are injected."""
         return self._rows.get((partition, key))
 
     def run(self, operation, fault=Fault.NONE):
-        """Carry out an operation and give its outcome."""
+        """Execute an operation with a fault and return its outcome."""
         if self.down or fault is Fault.REQUEST_LOST:
             return UNKNOWN
         if fault is Fault.APPLIED_LATE:
@@ -39,7 +39,7 @@
         return UNKNOWN if fault is Fault.ANSWER_LOST else outcome
 
     def land(self):
-        """Apply the oldest late operation, whatever has happened since."""
+        """Apply the oldest delayed operation."""
         self._apply(self.late.pop(0))
 
     def _apply(self, operation):
@@ -54,17 +54,17 @@
 
     def _swap(self, operation):
         assert isinstance(operation, CompareAndSetRow)
-        place = (operation.partition, operation.key)
-        _, version = self._rows.get(place, (None, None))
+        row_key = (operation.partition, operation.key)
+        _, version = self._rows.get(row_key, (None, None))
         if version != operation.expected:
             return False
-        self._rows[place] = (operation.data, (version or 0) + 1)
+        self._rows[row_key] = (operation.data, (version or 0) + 1)
         self._on_swap(operation)
         return True
 
 
 def run_to_end(steps, platform, faults=()):
-    """Run a procedure; the faults befall its first operations in this order."""
+    """Run steps to their end and return the result; the first operations get the given faults."""
     faults = list(faults)
     outcome = None
     while True:
--- a/tests/retired_words.py
+++ b/tests/retired_words.py
@@ -1,8 +1,8 @@
-"""Fails when the sources use a word that docs/GLOSSARY.md has retired.
+"""Fails if the sources use a word that docs/GLOSSARY.md has retired.
 
-The list is ``retired-words.txt``. A word matches whatever its case, whole between letters, so
-``intake`` is found in ``_intake`` and ``Intake``; a space in it stands for a space, an underscore,
-a hyphen or nothing.
+The list is ``retired-words.txt``. Matching ignores case and requires that no letter precedes or
+follows the word, so ``intake`` is found in ``_intake`` and ``Intake``; a plural ``s`` may follow.
+A space in a word matches a space, an underscore, a hyphen or nothing.
 """
 
 import re
@@ -21,7 +21,7 @@
 
     :param word: the word that is no longer used.
     :param term: the term to use.
-    :param exempt: the directory in which the word is a name of the wire, or empty.
+    :param exempt: the directory where the word may be used as a name on the wire, or empty.
     """
 
     word: str
@@ -44,7 +44,7 @@
 
     :param root: the project's directory.
     :param words: a list of :class:`RetiredWord`.
-    :return: a list of lines that name file, line, word and the term to use.
+    :return: a list of messages with file, line number, word and the term to use.
     """
     patterns = [(word, _compile(word.word)) for word in words]
     return [
@@ -74,7 +74,7 @@
 
 
 def main():
-    """Print each use and exit with 1 when there is one."""
+    """Print each use and exit with 1 if there is any."""
     uses = find_uses(_ROOT, read_list(_LIST.read_text(encoding="utf-8")))
     print("\n".join(uses), end="\n" if uses else "")
     sys.exit(1 if uses else 0)
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,4 +1,4 @@
-"""Runs every feature, several at once, and prints one closing line."""
+"""Runs the features in parallel and prints a summary as the last line."""
 
 import json
 import os
@@ -17,7 +17,7 @@
 
 
 class Scenario(NamedTuple):
-    """One scenario's verdict."""
+    """The result of one scenario."""
 
     name: str
     status: str
@@ -25,7 +25,7 @@
 
 
 def main(patterns):
-    """Run the features whose path contains one of the patterns (none: all)."""
+    """Run the features whose path contains one of the patterns, or all without patterns."""
     features = [str(path) for path in sorted(_FEATURES.rglob("*.feature"))]
     if patterns:
         features = [path for path in features if any(one in path for one in patterns)]
@@ -37,10 +37,10 @@
     for one in failed:
         mark = "KNOWN RED" if one.name in known_red else "FAILED"
         print(f"{mark}: {one.name}\n{one.report}")
-    unknown = [one for one in failed if one.name not in known_red]
+    unexpected = [one for one in failed if one.name not in known_red]
     passed = len(scenarios) - len(failed)
-    print(f"{passed} passed, {len(unknown)} failed")
-    sys.exit(1 if unknown or not scenarios else 0)
+    print(f"{passed} passed, {len(unexpected)} failed")
+    sys.exit(1 if unexpected or not scenarios else 0)
 
 
 def _run_feature(path):
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,4 +1,4 @@
-"""Random runs of the core's state machines; every machine that a soak runs is listed here."""
+"""Random tests of the core with Hypothesis; ``MACHINES`` lists those that ``soak.runs`` runs."""
 
 from soak.claims import ClaimsMachine
 
--- a/tests/soak/runs.py
+++ b/tests/soak/runs.py
@@ -1,4 +1,4 @@
-"""Runs random machines: a fixed set for CI, or for a time with printed seeds."""
+"""Runs Hypothesis state machines on fixed examples for CI, or on new seeds for a given time."""
 
 import sys
 import time
@@ -9,8 +9,8 @@
 
 from soak import MACHINES
 
-# The library also draws numbers that it finds in the project's own sources, so the same examples
-# would change with every edit anywhere, and with them which faults the fixed runs find.
+# Hypothesis also draws constants that it finds in the project's sources. Any edit would then change
+# the fixed examples, and with them which faults they find.
 providers._get_local_constants = providers.Constants
 
 _COMMON = {
@@ -25,11 +25,11 @@
 
 
 def run_fixed(machine, examples, steps=_STEPS, shrink=True):
-    """Run a machine on the same examples each time; raises on the first failure.
+    """Run a machine on the same examples each time, and raise on the first failure.
 
-    A mutant is only to be caught, so its trace need not be shrunk.
+    Runs of a mutant only need to fail, so they can skip shrinking the trace.
     """
-    chosen = settings(
+    run_settings = settings(
         max_examples=examples,
         stateful_step_count=steps,
         derandomize=True,
@@ -37,18 +37,18 @@
         report_multiple_bugs=False,
         **_COMMON,
     )
-    run_state_machine_as_test(machine, settings=chosen)
+    run_state_machine_as_test(machine, settings=run_settings)
 
 
 def run_seed(machine, seed, steps=_STEPS):
-    """Run a machine on the examples of one seed; raises with a minimal trace on failure."""
+    """Run a machine on the examples of one seed, and raise with a minimal trace on failure."""
     machine._hypothesis_internal_use_seed = seed
-    chosen = settings(max_examples=_EXAMPLES_PER_SEED, stateful_step_count=steps, **_COMMON)
-    run_state_machine_as_test(machine, settings=chosen)
+    run_settings = settings(max_examples=_EXAMPLES_PER_SEED, stateful_step_count=steps, **_COMMON)
+    run_state_machine_as_test(machine, settings=run_settings)
 
 
 def main(seconds, first_seed, names):
-    """Run machines with one seed after another until the time is over."""
+    """Run machines with successive seeds until the time is over."""
     end = time.monotonic() + seconds
     seed = first_seed
     while time.monotonic() < end:
