--- a/demo/load.py
+++ b/demo/load.py
@@ -31,7 +31,7 @@
         """Record the last answer to a call.
 
         :param seconds: the time from the first attempt to that answer.
-        :param answer: the :class:`standins.caller.Answer`.
+        :param answer: the :class:`standins.caller.Response`.
         :param attempts: the number of attempts.
         """
         with self._lock:
--- a/models/claims.py
+++ b/models/claims.py
@@ -47,7 +47,7 @@
     is_known_not_run: bool = False
     found_row: tuple = ()
     had_run_before: bool = False
-    is_first_send: bool = False
+    is_first_attempt: bool = False
 
 
 class Attempt(NamedTuple):
@@ -167,7 +167,7 @@
 def _receive_send(state, node, mutant):
     is_first = not state.is_key_sent
     entry = Entry(
-        state.entries[node].incarnation, had_run_before=bool(state.ran), is_first_send=is_first
+        state.entries[node].incarnation, had_run_before=bool(state.ran), is_first_attempt=is_first
     )
     state = state._replace(sends=state.sends - 1, is_key_sent=True)
     return _claim(_with_entry(state, node, entry), node, (), mutant)
@@ -244,7 +244,7 @@
     if entry.may_be_written:
         mark = (entry.attempt, entry.expected, _ROW_VOIDED)
         state = state._replace(writes=state.writes | {mark})
-    if entry.is_known_not_run or entry.is_first_send or mutant == "not_run_unproven":
+    if entry.is_known_not_run or entry.is_first_attempt or mutant == "not_run_unproven":
         state = _report_not_run(state, node)
     return _end_send(state, node)
 
