--- a/packages/core/src/camphorshelf_core/admission.py
+++ b/packages/core/src/camphorshelf_core/admission.py
@@ -461,7 +461,7 @@
         # With a wrong count the gate would admit too many calls, or none, for ever. Refusing all of
         # them is always correct, and callers go to another target.
         self._broken = self._broken or violation
-        reason = f"the target's node found an internal error: {violation}"
+        reason = f"the target's node found a fault in itself: {violation}"
         self._closed = Refusal(Code.GATE_BROKEN, reason, retry_after_ms=1000)
 
 
--- a/packages/core/src/camphorshelf_core/claimrefusals.py
+++ b/packages/core/src/camphorshelf_core/claimrefusals.py
@@ -35,7 +35,7 @@
 
     :return: the :class:`Refusal`.
     """
-    reason = "other requests with the same key repeatedly claimed it first"
+    reason = "other requests with the same key came in between"
     return Refusal(Code.CLAIM_CONTENDED, reason, Ran.OUTCOME_UNKNOWN, _RETRY_AFTER_MS)
 
 
@@ -44,7 +44,7 @@
 
     :return: the :class:`Refusal`.
     """
-    return Refusal(Code.ANSWER_NOT_KEPT, "the call ran; its answer is no longer kept", Ran.RAN)
+    return Refusal(Code.ANSWER_NOT_KEPT, "it ran; its answer is no longer kept", Ran.RAN)
 
 
 def refuse_outcome_lost():
@@ -52,7 +52,7 @@
 
     :return: the :class:`Refusal`.
     """
-    reason = "the outcome of an earlier request with this key is unknown; it is not run again"
+    reason = "what became of an earlier request with this key is unknown; it is not run again"
     return Refusal(Code.OUTCOME_LOST, reason, Ran.OUTCOME_UNKNOWN)
 
 
@@ -61,7 +61,7 @@
 
     :return: the :class:`Refusal`.
     """
-    reason = "an invariant of the claim is broken; this node does not continue the call"
+    reason = "an invariant of the claim is broken; this node does not go on with it"
     return Refusal(Code.INVARIANT_BROKEN, reason, Ran.OUTCOME_UNKNOWN)
 
 
--- a/packages/core/src/camphorshelf_core/tickets.py
+++ b/packages/core/src/camphorshelf_core/tickets.py
@@ -107,7 +107,7 @@
         """
         self._drop_old_records(now)
         if len(self._records) >= self._settings.tickets:
-            reason = "the target's node has reached its limit of stored tickets"
+            reason = "the target's node remembers as many tickets as it may"
             return Refusal(Code.TICKETS_FULL, reason, retry_after_ms=_RETRY_AFTER_MS)
         self._minted += 1
         self._records[self._minted] = _Record(now)
@@ -166,14 +166,14 @@
 
     def _find_refusal(self, ticket, service):
         if (ticket.node, ticket.incarnation) != (self._node, self._incarnation):
-            reason = "the process that minted the ticket is gone; no other process runs the call"
+            reason = "the process that minted the ticket is gone; no other one runs it"
             return Refusal(Code.TICKET_NODE_GONE, reason, Ran.OUTCOME_UNKNOWN)
         mac = self._compute_mac(service, ticket.number)
         if ticket.number > self._minted or not compare_digest(mac, ticket.mac):
             reason = "the ticket was not minted by this node for this service"
             return Refusal(Code.BAD_TICKET, reason)
         if ticket.number not in self._records:
-            reason = "the record of the ticket has expired; the call is not run again"
+            reason = "the ticket is too old to be remembered; it is not run again"
             return Refusal(Code.TICKET_FORGOTTEN, reason, Ran.OUTCOME_UNKNOWN)
         return None
 
--- a/packages/core/src/camphorshelf_core/versions.py
+++ b/packages/core/src/camphorshelf_core/versions.py
@@ -204,14 +204,14 @@
     def _find_reason(self, now):
         settings = self._settings
         if self.violations:
-            return "two different bodies have the same version number; an operator must check them"
+            return "two bodies claim one version; operators have to look"
         if now - self._last_active > settings.freeze_ms / 1000:
-            return "the node was frozen and is checking whether its configuration is current"
+            return "the node has just woken and asks whether its configuration still holds"
         if self._proved_by is None:
             return f"the configuration is not proved yet ({self._describe_proof()})"
         behind = self._behind_since
         if behind is not None and now - behind > settings.behind_ms / 1000:
-            return f"version {self._highest} exists but could not be fetched"
+            return f"version {self._highest} exists and could not be fetched"
         check_contact = settings.cut_off_ms and self._has_peers
         if check_contact and now - self._last_contact > settings.cut_off_ms / 1000:
             return "neither the platform nor any peer answers"
--- a/packages/node/src/camphorshelf_node/admissioncontroller.py
+++ b/packages/node/src/camphorshelf_node/admissioncontroller.py
@@ -115,13 +115,13 @@
         """
         local_call = LocalCall(self, self._loop, self._settings.gate, call, on_done)
         if self.announcement is None or self.announcement.service != call.service:
-            local_call.refuse(Refusal(Code.NO_TARGET, "this node has no target of that service"))
+            local_call.refuse(Refusal(Code.NO_TARGET, "no such target beside this node"))
             return local_call.cancel
         standing, fingerprint = self._quarantine.check_call(call)
         if standing is Standing.REFUSED:
             local_call.refuse(self._quarantine.refusal(fingerprint))
         elif self._gate.closed is None and not can_start_within(self.load, call.longest_wait_ms):
-            local_call.refuse(Refusal(Code.TARGET_BUSY, "no slot is expected to be free in time"))
+            local_call.refuse(Refusal(Code.TARGET_BUSY, "no slot is free soon enough"))
         elif standing is Standing.SUSPECT:
             self._admit_suspect(local_call, fingerprint)
         else:
--- a/packages/node/src/camphorshelf_node/atmostonce.py
+++ b/packages/node/src/camphorshelf_node/atmostonce.py
@@ -31,7 +31,7 @@
         if is_idempotent(call.method):
             return self._admission_controller.run(call, on_done)
         if self._registry.state(call.attempt) is not AttemptState.NEW:
-            reason = "the target's node has already received this attempt"
+            reason = "the target's node has seen this attempt before"
             refusal = Refusal(Code.ATTEMPT_REPEATED, reason, Ran.OUTCOME_UNKNOWN)
             on_done(refusal, self._admission_controller.load)
             return _do_nothing
--- a/packages/node/src/camphorshelf_node/callexecution.py
+++ b/packages/node/src/camphorshelf_node/callexecution.py
@@ -247,7 +247,7 @@
     def _on_deadline(self):
         # An attempt that was sent but not answered may have run, even if it is cancelled now.
         ran = Ran.OUTCOME_UNKNOWN if self._running else Ran.NOT_RUN
-        reason = "the deadline passed before the target responded"
+        reason = "the deadline passed before the answer came"
         refusal = Refusal(Code.DEADLINE_EXCEEDED, reason, ran)
         for attempt in tuple(self._running):
             attempt.record_missed_deadline(refusal)
--- a/packages/node/src/camphorshelf_node/dispatch.py
+++ b/packages/node/src/camphorshelf_node/dispatch.py
@@ -94,7 +94,7 @@
         :return: the :class:`Refusal`.
         """
         after = add_jitter(_NO_TARGET_RETRY_MS, self._random)
-        return Refusal(Code.NO_TARGET, "no target of the service takes calls", retry_after_ms=after)
+        return Refusal(Code.NO_TARGET, "no target of the service takes work", retry_after_ms=after)
 
     def latency_quantile(self, service):
         """Return the latency quantile of a service.
--- a/packages/node/src/camphorshelf_node/exchange.py
+++ b/packages/node/src/camphorshelf_node/exchange.py
@@ -158,5 +158,5 @@
     :return: the :class:`Refusal`.
     """
     # It is unknown whether the call had already been sent to the target.
-    reason = f"internal error in the node: {type(error).__name__}"
+    reason = f"a fault inside the node: {type(error).__name__}"
     return Refusal(Code.INTERNAL, reason, Ran.OUTCOME_UNKNOWN)
--- a/packages/node/src/camphorshelf_node/filters.py
+++ b/packages/node/src/camphorshelf_node/filters.py
@@ -39,7 +39,7 @@
             return
         exchange.service = host.split(b":")[0].split(b".")[0].decode("latin-1").lower()
         if not is_known_service(exchange.service):
-            reason = "the service is unknown, or none of its targets is known yet"
+            reason = "no such service, or none of its targets is known yet"
             exchange.refuse(Refusal(Code.UNKNOWN_SERVICE, reason, retry_after_ms=1000))
             return
         proceed(exchange)
@@ -88,7 +88,7 @@
         # for the responses before its own.
         exchange.deadline = exchange.received + milliseconds / 1000
         if exchange.deadline <= loop.now():
-            reason = "the deadline passed while the call waited for earlier calls"
+            reason = "the deadline passed before the call's turn came"
             exchange.refuse(Refusal(Code.DEADLINE_UNREACHABLE, reason))
             return
         proceed(exchange)
--- a/packages/node/src/camphorshelf_node/http.py
+++ b/packages/node/src/camphorshelf_node/http.py
@@ -164,7 +164,7 @@
             raise _RefusedError(Code.BODY_TOO_LARGE, "the body is larger than allowed")
         if self._parser.should_upgrade() and _has_body(self._headers):
             # The parser stops after such a head, and the body would be read as the next request.
-            reason = "a request with a body cannot upgrade the protocol"
+            reason = "a request with a body cannot change the protocol"
             raise _RefusedError(Code.BAD_REQUEST, reason)
         self._in_head = False
         self._continue_due = _wants_continue(version, self._headers)
@@ -405,9 +405,7 @@
 
 def _check_head(version, method, headers):
     if version not in _VERSIONS or method in _REFUSED_METHODS:
-        raise _RefusedError(
-            Code.BAD_REQUEST, "unsupported method, or HTTP version other than 1.0 and 1.1"
-        )
+        raise _RefusedError(Code.BAD_REQUEST, "only HTTP/1.0 and HTTP/1.1 requests are served")
     hosts = sum(name == b"host" for name, _ in headers)
     if hosts > 1 or (hosts == 0 and version == "1.1"):
         raise _RefusedError(Code.BAD_REQUEST, "exactly one Host header is required")
@@ -415,12 +413,10 @@
     # The parser accepts further codings before "chunked", and chunks in HTTP/1.0. A target could
     # find another body length in such a message than this node.
     if coding is not None and (version == "1.0" or coding.strip().lower() != b"chunked"):
-        raise _RefusedError(Code.BAD_REQUEST, "the only supported transfer coding is chunked")
+        raise _RefusedError(Code.BAD_REQUEST, "the only transfer coding served is chunked")
     expect = header(headers, b"expect")
     if expect is not None and expect.lower() != b"100-continue":
-        raise _RefusedError(
-            Code.EXPECTATION_FAILED, "the only supported expectation is 100-continue"
-        )
+        raise _RefusedError(Code.EXPECTATION_FAILED, "the only expectation met is 100-continue")
 
 
 def _check_target(url, host):
@@ -431,9 +427,7 @@
         return
     authority = rest.partition(b"/")[0].partition(b"?")[0]
     if authority.lower() != (host or b"").strip().lower():
-        raise _RefusedError(
-            Code.BAD_REQUEST, "the request line and the Host header name different hosts"
-        )
+        raise _RefusedError(Code.BAD_REQUEST, "the request line names another host than Host")
 
 
 def _wants_continue(version, headers):
--- a/packages/node/src/camphorshelf_node/httpclient.py
+++ b/packages/node/src/camphorshelf_node/httpclient.py
@@ -211,7 +211,7 @@
         exchange = self._exchange
         if exchange.may_send is not None and not exchange.may_send():
             self._exchange = None
-            failure = RequestFailure("the request was withdrawn", exchange.sent)
+            failure = RequestFailure("it was no longer wanted", exchange.sent)
             self._finish(exchange, failure, keep=True)
             return
         exchange.sent = True
--- a/packages/node/src/camphorshelf_node/links.py
+++ b/packages/node/src/camphorshelf_node/links.py
@@ -156,7 +156,7 @@
         parts = self._incoming.setdefault(message.number, bytearray())
         parts += message.data
         if len(parts) > _MAX_REASSEMBLED_BYTES:
-            raise ProtocolError("a fragmented message is larger than allowed")
+            raise ProtocolError("a message in pieces is larger than allowed")
         if not message.is_last:
             return None
         return decode(bytes(self._incoming.pop(message.number)))
@@ -422,7 +422,7 @@
             # Without an answer, the peer's caller would wait until its deadline.
             if on_fault is not None:
                 on_fault(error)
-            reason = f"internal error in the target's node: {type(error).__name__}"
+            reason = f"a fault inside the target's node: {type(error).__name__}"
             done(Refusal(Code.INTERNAL, reason, Ran.OUTCOME_UNKNOWN), admission_controller.load)
             return None
 
@@ -436,7 +436,7 @@
     status, headers, body = result
     if len(body) > _MAX_BODY_BYTES:
         # Sending it anyway would break the link and fail every other call on it.
-        reason = "the response is larger than a link can carry"
+        reason = "the answer is larger than a link carries"
         return RefusedMessage(0, int(Code.ANSWER_TOO_LARGE), reason, Ran.RAN.value, None, load)
     return AnswerMessage(0, status, headers, body, load)
 
--- a/packages/node/src/camphorshelf_node/listeners.py
+++ b/packages/node/src/camphorshelf_node/listeners.py
@@ -58,7 +58,7 @@
         if len(self._connections) >= limits.caller_connections:
             # A connection left in the listen backlog would keep the caller waiting until its own
             # timeout. A caller that is refused at once can connect to another node.
-            reason = "the node has reached its limit of callers' connections"
+            reason = "the node has as many callers' connections as it may"
             refusal = Refusal(Code.CONNECTION_LIMIT, reason, retry_after_ms=_RETRY_AFTER_MS)
             status, headers, body = render_refusal(refusal)
             stream.write(render_response(status, headers, body, "GET", close=True))
--- a/packages/node/src/camphorshelf_node/localcall.py
+++ b/packages/node/src/camphorshelf_node/localcall.py
@@ -70,7 +70,7 @@
 
         :return: None.
         """
-        reason = "another request that is suspected of crashing targets is running"
+        reason = "another request under suspicion of crashing targets runs here"
         retry_after_ms = int(_SUSPECT_WAIT_SECONDS * 1000)
         self.refuse(Refusal(Code.SUSPECT_WAITING, reason, retry_after_ms=retry_after_ms))
 
@@ -143,7 +143,7 @@
         if result.status == _UNAVAILABLE_STATUS:
             self._admission_controller.record_shed()
             if self._says_not_run(result):
-                self._answer(Refusal(Code.TARGET_SHED, "the target shed the call"))
+                self._answer(Refusal(Code.TARGET_SHED, "the target turned the call away"))
                 return
         self._answer(result)
 
--- a/packages/node/src/camphorshelf_node/node.py
+++ b/packages/node/src/camphorshelf_node/node.py
@@ -226,9 +226,9 @@
         if self._stopping:
             return "the node is stopping"
         if self._gossip.membership.superseded:
-            return "another process has been started for this node"
+            return "another process of this node has been started"
         if not self._join.is_joined:
-            return "the node has not joined its peers yet"
+            return "the node has not found its peers yet"
         refusal = self._configuration.find_refusal()
         return None if refusal is None else refusal.reason
 
--- a/packages/node/src/camphorshelf_node/platform.py
+++ b/packages/node/src/camphorshelf_node/platform.py
@@ -252,9 +252,9 @@
             self._settings.requests_per_second * _BACKGROUND_RESERVE_SHARE if background else 0
         )
         if self._budget.available(now) < 1 + reserve:
-            return "the node has used up its budget of requests to the platform"
+            return "this node's budget of requests to the platform is spent"
         if not self._circuit.allows(now):
-            return "the circuit breaker is open: the platform did not answer earlier requests"
+            return "the platform does not answer and is left alone for a moment"
         self._budget.spend(1, now)
         return None
 
--- a/packages/node/src/camphorshelf_node/quarantine.py
+++ b/packages/node/src/camphorshelf_node/quarantine.py
@@ -75,7 +75,7 @@
         :return: the :class:`Refusal`.
         """
         remaining_s = self._state.seconds_left(name, time.time())
-        reason = f"targets crashed while they ran this request (fingerprint {name})"
+        reason = f"each target that ran this request died (fingerprint {name})"
         return Refusal(Code.QUARANTINED, reason, retry_after_ms=int(remaining_s * 1000) + 1)
 
     def record_blamed(self, exchange, target):
--- a/packages/node/src/camphorshelf_node/responsereader.py
+++ b/packages/node/src/camphorshelf_node/responsereader.py
@@ -177,10 +177,10 @@
             return
         if _contains_status_line(self._reason, self._headers):
             # The head was truncated, and the parser read the head of the next response as its rest.
-            self._error = "the head contains the status line of another response"
+            self._error = "the head runs on into another one"
             return
         if not _is_coding_supported(self._headers):
-            self._error = "the only supported transfer coding is chunked"
+            self._error = "another transfer coding than chunked"
             return
         self._keep_alive = self._framing is not Framing.CLOSE and self._parser.should_keep_alive()
         headers = strip_hop_by_hop(self._headers)
--- a/packages/node/src/camphorshelf_node/rows.py
+++ b/packages/node/src/camphorshelf_node/rows.py
@@ -102,7 +102,7 @@
     if isinstance(result, RequestFailure):
         return Failure(ReadFailure(result.reason))
     if result.status != 200:
-        return Failure(ReadFailure(f"the table service answered with status {result.status}"))
+        return Failure(ReadFailure(f"the table service answered {result.status}"))
     return Success(json.loads(result.body))
 
 
--- a/packages/node/src/camphorshelf_node/tickets.py
+++ b/packages/node/src/camphorshelf_node/tickets.py
@@ -56,11 +56,7 @@
         """
         target = self._admission_controller.announcement
         if target is None or target.service != message.service:
-            return _mint_refusal(
-                Refusal(
-                    Code.NO_TARGET, f"the node's host has no target of service {message.service}"
-                )
-            )
+            return _mint_refusal(Refusal(Code.NO_TARGET, "no such target beside this node"))
         tickets = []
         for _ in range(min(message.count, _MAX_TICKETS_PER_REQUEST)):
             minted = self._store.mint(message.service, self._loop.now())
@@ -116,7 +112,7 @@
             if is_current and not waiting and not self._at_most_once.has_started(call):
                 cancel()
                 finish(
-                    Refusal(Code.CANCELLED, "nobody waits for the call any more"),
+                    Refusal(Code.CANCELLED, "nobody waits for it"),
                     self._admission_controller.load,
                 )
 
@@ -160,13 +156,11 @@
     def _request_tickets(self, exchange):
         request = exchange.request
         if request.method != "POST":
-            exchange.refuse(
-                Refusal(Code.BAD_REQUEST, f"tickets are requested with POST, not {request.method}")
-            )
+            exchange.refuse(Refusal(Code.BAD_REQUEST, "tickets are taken with POST"))
             return
         members = self._roster.members(exchange.service)
         if not members:
-            reason = f"service {exchange.service} has no target"
+            reason = "no target of the service takes work"
             exchange.refuse(Refusal(Code.NO_TARGET, reason, retry_after_ms=_RETRY_AFTER_MS))
             return
         member = self._random.choice(members)
@@ -189,7 +183,7 @@
 
     def _send_tickets(self, exchange, answer):
         if not isinstance(answer, TicketsMessage):
-            reason = "the target's node did not answer the request for tickets"
+            reason = "the target's node did not answer"
             exchange.refuse(Refusal(Code.PEER_LOST, reason, retry_after_ms=_RETRY_AFTER_MS))
             return
         refusal = unpack_result(None, answer.refusal)
@@ -260,7 +254,7 @@
 
     def _on_deadline(self):
         self._give_up()
-        reason = "the deadline passed before the call was answered"
+        reason = "the deadline passed before the answer came"
         self._exchange.refuse(Refusal(Code.DEADLINE_EXCEEDED, reason, Ran.OUTCOME_UNKNOWN))
 
     def _give_up(self):
@@ -287,7 +281,7 @@
 
 
 def _node_gone_refusal(is_final):
-    reason = "the node that minted the ticket has ended or cannot be reached; no other may run it"
+    reason = "the node that minted the ticket is gone or cannot be reached; no other runs it"
     retry_after_ms = None if is_final else _RETRY_AFTER_MS
     return Refusal(Code.TICKET_NODE_GONE, reason, Ran.OUTCOME_UNKNOWN, retry_after_ms)
 
--- a/packages/relay/src/camphorshelf_relay/admissioncontroller.py
+++ b/packages/relay/src/camphorshelf_relay/admissioncontroller.py
@@ -49,14 +49,14 @@
         ):
             request.send_refusal(
                 Code.NO_TARGET,
-                "the node may shut down before the request's deadline",
+                "the node may end before the request",
                 Ran.NOT_RUN,
             )
             return None
         if self.crashes.is_quarantined(request.fingerprint):
             request.send_refusal(
                 Code.QUARANTINED,
-                "the request is quarantined because targets crashed while running it",
+                "targets crash under this request",
                 Ran.NOT_RUN,
             )
             return None
--- a/packages/relay/src/camphorshelf_relay/listeners.py
+++ b/packages/relay/src/camphorshelf_relay/listeners.py
@@ -186,7 +186,7 @@
             reply(
                 _make_refusal(
                     Code.DEADLINE_UNREACHABLE,
-                    "the request was delayed on its way to the target's node",
+                    "it was held up on the way",
                     Ran.NOT_RUN,
                 )
             )
@@ -196,7 +196,7 @@
         except Exception as error:
             # Without a reply the peer would wait until the deadline.
             on_fault(error)
-            reason = f"internal error in the target's node: {type(error).__name__}"
+            reason = f"a fault inside the target's node: {type(error).__name__}"
             reply(_make_refusal(Code.INTERNAL, reason, Ran.OUTCOME_UNKNOWN))
             return None
 
--- a/packages/relay/src/camphorshelf_relay/metrics.py
+++ b/packages/relay/src/camphorshelf_relay/metrics.py
@@ -28,11 +28,11 @@
         self._routes = set()
         self._request_durations = _DurationHistogram(
             "camphorshelf.request.duration",
-            "Time from a request's arrival to its response, by route.",
+            "From a request's arrival to its answer, by route.",
         )
         self._target_durations = _DurationHistogram(
             "camphorshelf.target.duration",
-            "Time at the local target, by phase (wait or run).",
+            "Time at the target beside the node, by phase (wait or run).",
         )
         self.add_counter(
             "requests",
--- a/packages/relay/src/camphorshelf_relay/nodemetrics.py
+++ b/packages/relay/src/camphorshelf_relay/nodemetrics.py
@@ -62,49 +62,45 @@
         sources.peers.prober.counts,
         "outcome",
     )
-    add_counter(
-        "target.contacts", "Probes of the target and connections to it.", target.counts, "kind"
-    )
-    add_counter(
-        "target.strays", "Responses that belong to no request.", target.stray_counts, "place"
-    )
-    add_counter("log.dropped", "Dropped log lines.", sources.log.counts, "reason")
-    add_gauge("target.running", "Requests running at the target.", lambda: admission.running)
-    add_gauge("target.queued", "Requests waiting for a slot.", lambda: admission.queued)
+    add_counter("target.contacts", "Probes and connections.", target.counts, "kind")
+    add_counter("target.strays", "Answers that belong to no request.", target.stray_counts, "place")
+    add_counter("log.dropped", "Log lines left out.", sources.log.counts, "reason")
+    add_gauge("target.running", "Requests that run at the target.", lambda: admission.running)
+    add_gauge("target.queued", "Requests that wait for a slot.", lambda: admission.queued)
     add_gauge("target.limit", "Requests that may run at once.", lambda: admission.limit)
     add_gauge(
         "target.slowness",
-        "Duration of work relative to the usual duration, 1 as usual.",
+        "How long work takes, 1 as usual.",
         lambda: target.slowness,
     )
     add_gauge("target.failing", "Share of failed requests.", lambda: target.failing)
     add_gauge(
         "target.accepting",
-        "1 while the target accepts requests.",
+        "1 while work is let in.",
         lambda: int(target.accepting),
     )
     add_gauge(
         "target.cold",
-        "1 while the start of requests is limited.",
+        "1 while starts are limited.",
         lambda: int(target.is_limited),
     )
     evacuations = sources.config_sync.evacuations
     add_gauge("evacuated", "Evacuated failure domains.", lambda: len(evacuations.current.domains))
-    add_gauge("ready", "1 while the node is ready for callers.", lambda: int(sources.is_ready()))
+    add_gauge("ready", "1 while callers should come.", lambda: int(sources.is_ready()))
     add_gauge(
         "config.version",
-        "Version of the configuration in force.",
+        "The configuration in force.",
         lambda: sources.config_sync.version,
     )
     add_gauge(
         "store.age",
-        "Seconds since the last response of the store.",
+        "Seconds since the store answered.",
         lambda: sources.config_sync.store_age_s,
     )
     add_gauge("callers", "Connections of callers.", lambda: sources.callers.connections)
     live = sources.peers.directory.live
     add_gauge(
         "hosts",
-        "Other hosts that were recently heard from.",
+        "Other hosts heard lately.",
         lambda: len(live(sources.loop.now())),
     )
--- a/packages/relay/src/camphorshelf_relay/relay.py
+++ b/packages/relay/src/camphorshelf_relay/relay.py
@@ -74,7 +74,7 @@
         """
         now = self._loop.now()
         if self._expires_at <= now + _MIN_REMAINING_SECONDS:
-            self._refuse(Code.DEADLINE_UNREACHABLE, "the request's deadline has passed")
+            self._refuse(Code.DEADLINE_UNREACHABLE, "its time has passed")
             return
         guard = self._exchange.guard
         self._exchange.set_disconnect_handler(self._on_hang_up)
@@ -97,8 +97,8 @@
     def _no_target_reason(self):
         evacuated = self._router.list_evacuated()
         if evacuated:
-            return f"no target outside the evacuated {', '.join(evacuated)} accepts requests"
-        return "no target of the service accepts requests"
+            return f"no target outside the evacuated {', '.join(evacuated)} takes work"
+        return "no target of the service takes work"
 
     def _probe(self, untried):
         if self._probe_rounds >= MAX_PROBE_ROUNDS:
@@ -126,7 +126,7 @@
             self._late_offer_count += 1
             self._offer((untried or candidates)[0], self._late_policy)
         else:
-            self._refuse(Code.QUEUE_FULL, "no target can respond in time for the request")
+            self._refuse(Code.QUEUE_FULL, "every target is busy beyond the request's time")
 
     def _rank_targets(self, now):
         router = self._router
@@ -336,14 +336,12 @@
         self._expiry_timer = None
         self._may_have_run = self._may_have_run or bool(self._pending_offers)
         if self._may_have_run:
-            reason = "no response within the timeout of the route or of the caller"
+            reason = "no answer within the route's or the caller's time"
             self._finish_without_success(
                 Refusal(Code.DEADLINE_EXCEEDED, reason, Ran.OUTCOME_UNKNOWN)
             )
         else:
-            self._finish_without_success(
-                Refusal(Code.DEADLINE_UNREACHABLE, "the request's deadline has passed")
-            )
+            self._finish_without_success(Refusal(Code.DEADLINE_UNREACHABLE, "its time has passed"))
 
     def _on_hang_up(self):
         self._end()
@@ -384,7 +382,7 @@
         elif isinstance(message, RelayRefusedMessage | Refusal):
             self._relay.on_refusal(self, message)
         else:
-            raise TypeError(f"unexpected response to a request: {type(message).__name__}")
+            raise TypeError(f"not an answer to a request: {type(message).__name__}")
 
 
 def _get_ran(message):
--- a/packages/relay/src/camphorshelf_relay/target.py
+++ b/packages/relay/src/camphorshelf_relay/target.py
@@ -99,7 +99,7 @@
         """Why the target accepts no new requests, in one sentence."""
         if self._is_evacuated:
             return "the target's failure domain is evacuated"
-        return "the target accepts no new requests"
+        return "the target takes no work"
 
     @property
     def is_limited(self):
--- a/packages/relay/src/camphorshelf_relay/targetconnection.py
+++ b/packages/relay/src/camphorshelf_relay/targetconnection.py
@@ -149,7 +149,7 @@
             self._write()
         else:
             self._fail(
-                RequestFailure("the target no longer accepts requests", sent=False, withdrawn=True)
+                RequestFailure("the target takes no work any more", sent=False, withdrawn=True)
             )
 
     def _write(self):
@@ -194,11 +194,11 @@
     def _find_error(self):
         status = self._reader.response.status
         if self._metadata.is_content_encoded:
-            return "the response has a content encoding that the service itself does not use"
+            return "the answer's body is not what the target made"
         if self._request_id and status < 300 and not self._metadata.is_signed:
-            return "the response reports success without the target's signature"
+            return "the answer is a success without the target's signature"
         if self._contains_second_response():
-            return "the response body contains the start of another response"
+            return "the answer's body runs on into another answer"
         return None
 
     def _contains_second_response(self):
@@ -253,10 +253,10 @@
         elif self._sent:
             self._fail(
                 RequestFailure(
-                    "the connection was lost before the response was complete",
+                    "the connection was lost",
                     True,
                     crashed=self._reader.is_in_head,
                 )
             )
         else:
-            self._fail(RequestFailure("the connection could not be established", sent=False))
+            self._fail(RequestFailure("no connection", sent=False))
--- a/packages/relay/src/camphorshelf_relay/targetrequest.py
+++ b/packages/relay/src/camphorshelf_relay/targetrequest.py
@@ -51,9 +51,7 @@
         """
         result = self._controller.admission.offer(self._job, self._arrived_at)
         if not result.admitted:
-            self.send_refusal(
-                Code.TARGET_BUSY, "no slot becomes free in time", Ran.NOT_RUN, result.wait_s
-            )
+            self.send_refusal(Code.TARGET_BUSY, "no slot in time", Ran.NOT_RUN, result.wait_s)
             return None
         self._timer = self._loop.call_later(max(0.0, self._message.remaining_s), self._on_expiry)
         return self.cancel
@@ -177,7 +175,7 @@
             # The caller would take this status as a promise that the request did not run, and
             # would repeat a request that may have been executed.
             target.record_outcome(True)
-            reason = f"the target answered {response.status} without confirming that it did not run"
+            reason = f"the target answered {response.status} without saying that it did not run"
             self.send_refusal(Code.TARGET_LOST, reason, Ran.OUTCOME_UNKNOWN, reached=True)
             return
         now = self._loop.now()
@@ -232,33 +230,29 @@
         target = self._controller.target
         if response.status == 421:
             target.record_other_process(metadata.instance)
-            self.send_refusal(
-                Code.NO_TARGET, "another process listens at the target's address", Ran.NOT_RUN
-            )
+            self.send_refusal(Code.NO_TARGET, "another process has the address", Ran.NOT_RUN)
             return
         target.record_outcome(True)
         self.send_refusal(
             Code.TARGET_SHED,
-            f"the target refused the request with HTTP status {response.status}",
+            "the target turned it away",
             Ran.NOT_RUN,
             reached=True,
         )
 
     def _on_shed(self, wait_s):
-        self.send_refusal(
-            Code.TARGET_BUSY, "the expected wait became too long", Ran.NOT_RUN, wait_s
-        )
+        self.send_refusal(Code.TARGET_BUSY, "the wait became too long", Ran.NOT_RUN, wait_s)
 
     def _on_expiry(self):
         self._timer = None
         if self._started_at is None:
             self.send_refusal(
-                Code.DEADLINE_UNREACHABLE, "the deadline passed in the queue", Ran.NOT_RUN
+                Code.DEADLINE_UNREACHABLE, "its time passed in the queue", Ran.NOT_RUN
             )
         else:
             self.send_refusal(
                 Code.DEADLINE_EXCEEDED,
-                "the deadline passed while the request ran",
+                "its time passed",
                 Ran.OUTCOME_UNKNOWN,
                 reached=True,
             )
